--- a/fill/aim.go
+++ b/fill/aim.go
@@ -12,95 +12,94 @@
 )
 
 const (
-	// mostlyFilled is how long after it was named all of a version is drawn where the origin's rate is not known, finishTime
-	// how long it may take to the end once a newer one was named.
-	mostlyFilled = 2200 * time.Millisecond
-	finishTime   = 4 * time.Second
+	// defaultFetchTime is how long fetching a whole version takes when the origin's link rate is unknown;
+	// finishTimeout bounds how long an older version may still take once a newer one is named.
+	defaultFetchTime = 2200 * time.Millisecond
+	finishTimeout    = 4 * time.Second
 )
 
-// filling is the way of one version to this box; its fields are guarded by the box's mutex.
-type filling struct {
-	model    string
-	version  contract.Version
-	named    time.Time
-	began    time.Time
-	manifest *Manifest
-	key      uint64
-	feed     *swarm.Feed
-	members  []swarm.Member
-	partners []swarm.Member
-	asking   bool
-	misfits  int
-	// memory holds pieces that came while the server's own place for pieces still held an older version to be loaded.
-	memory  map[int][]byte
-	checked time.Time
-	ordered time.Time
-	// given says that the server took the order.
-	given  bool
-	ctx    context.Context
-	cancel context.CancelFunc
+// update brings the server on this machine to one version of a model; its fields are guarded by the box's mutex.
+type update struct {
+	model               string
+	version             contract.Version
+	namedAt             time.Time
+	startedAt           time.Time
+	manifest            *Manifest
+	key                 uint64
+	feed                *swarm.Feed
+	members             []swarm.Member
+	partners            []swarm.Member
+	downloadingManifest bool
+	corruptPieces       int
+	// buffered holds pieces received while the server's staging area still holds an older version that is due to load.
+	buffered   map[int][]byte
+	verifiedAt time.Time
+	orderedAt  time.Time
+	// accepted says that the server accepted the load order.
+	accepted bool
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
-// aim makes a version the one to fill; a newer one takes the place of any on its way.
-func (b *Box) aim(ctx context.Context, model string, target contract.Version) *filling {
+// setTarget starts the update to a version; it supersedes the active update unless that one is to finish first.
+func (b *Box) setTarget(ctx context.Context, model string, target contract.Version) *update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.fill != nil && b.fill.model == model && (b.fill.version == target || b.finishesFirst(b.fill, target)) {
-		return b.fill
+	if b.active != nil && b.active.model == model && (b.active.version == target || b.finishOldFirst(b.active, target)) {
+		return b.active
 	}
-	b.replace(model)
-	f := &filling{model: model, version: target, began: clock.Now()}
-	_, f.named = b.cfg.View.Target(model)
-	f.ctx, f.cancel = context.WithCancel(ctx)
-	b.fill = f
+	b.supersede(model)
+	u := &update{model: model, version: target, startedAt: clock.Now()}
+	_, u.namedAt = b.cfg.View.Target(model)
+	u.ctx, u.cancel = context.WithCancel(ctx)
+	b.active = u
 	if b.pending == nil {
-		b.reopen()
+		b.clearTurn()
 	}
 	select {
-	case b.aimed <- struct{}{}:
+	case b.targetChanged <- struct{}{}:
 	default:
 	}
 	b.log.WithFields(log.Fields{"model": model, "version": int64(target)}).Info("fill: a version is aimed at")
-	return f
+	return u
 }
 
-// finishesFirst reports whether an older version is filled to its end before a newer one is begun: it was named long
-// enough before to be drawn whole by now. Should the origin fail, servers then have it to run on. All boxes decide alike, by
-// the times at which the versions were named.
-func (b *Box) finishesFirst(old *filling, target contract.Version) bool {
+// finishOldFirst reports whether an older version is finished before a newer one is started: it should be
+// fetched whole by now, and servers can run it if the origin fails. All boxes reach the same result, since it depends
+// only on when the versions were named.
+func (b *Box) finishOldFirst(old *update, target contract.Version) bool {
 	newest, named := b.cfg.View.Target(old.model)
-	if newest != target || old.named.IsZero() || old.feed == nil || old.feed.Complete() || b.state.Loaded[old.model] >= old.version {
+	if newest != target || old.namedAt.IsZero() || old.feed == nil || old.feed.Complete() || b.state.Loaded[old.model] >= old.version {
 		return false
 	}
-	drawn := b.feedParams(old.manifest).DrawnAfter(len(old.manifest.Digests))
-	if drawn == 0 {
-		drawn = mostlyFilled
+	fetchTime := b.feedParams(old.manifest).DrawnAfter(len(old.manifest.Digests))
+	if fetchTime == 0 {
+		fetchTime = defaultFetchTime
 	}
-	return named.Sub(old.named) >= drawn && clock.Since(named) < finishTime
+	return named.Sub(old.namedAt) >= fetchTime && clock.Since(named) < finishTimeout
 }
 
-// replace ends the filling of the version that was aimed at before, unless its pieces are complete and only its turn has
-// not come; mu is held.
-func (b *Box) replace(model string) {
-	old := b.fill
+// supersede cancels the active update, or makes it pending if only its load turn is outstanding; mu is held.
+func (b *Box) supersede(model string) {
+	old := b.active
 	if old == nil {
 		return
 	}
-	waits := old.feed != nil && old.feed.Complete() && len(old.memory) == 0 && b.state.Loaded[model] < old.version &&
-		b.state.Loaded[model] != 0 && !old.given
-	if waits && b.pending == nil {
+	complete := old.feed != nil && old.feed.Complete() && len(old.buffered) == 0 && b.state.Loaded[model] < old.version &&
+		b.state.Loaded[model] != 0 && !old.accepted
+	if complete && b.pending == nil {
 		b.pending = old
 		return
 	}
 	old.cancel()
 }
 
-// settle ends the links to other boxes some time after the server runs what it should; it goes on to give pieces.
-func (b *Box) settle(f *filling) {
+// finishUpdate ends the server's turn and closes idle links once it runs the version; the box goes on uploading pieces.
+func (b *Box) finishUpdate(u *update) {
 	b.mu.Lock()
-	b.reopen()
-	f.given = false
+	b.clearTurn()
+	u.accepted = false
 	b.mu.Unlock()
-	b.haveManifest(f)
-	b.links.rest()
+	b.ensureManifest(u)
+	b.links.closeIdle()
 }
--- a/fill/box.go
+++ b/fill/box.go
@@ -21,15 +21,15 @@
 )
 
 const (
-	headerTime = 5 * time.Second
-	// pieceShare is the part of the link, in percent, that pieces may take: the events of streams are small, and wait behind
-	// one part of a piece at most.
-	pieceShare = 93
-	// siblingsAge is how old the list of a service's boxes may be while nothing changes.
-	siblingsAge = 500 * time.Millisecond
+	headerTimeout = 5 * time.Second
+	// pieceLinkPercent is the share of the link that pieces may use; small stream events wait behind at most one
+	// part of a piece.
+	pieceLinkPercent = 93
+	// siblingsMaxAge bounds the age of the cached siblings while the view is unchanged.
+	siblingsMaxAge = 500 * time.Millisecond
 )
 
-// Config is what a box works with.
+// Config holds a box's settings and the services that it uses.
 type Config struct {
 	Machine  machine.Machine
 	View     *view.View
@@ -37,76 +37,76 @@
 	Origin   Origin
 	Log      log.Interface
 	Listener net.Listener
-	// Told is the view's source where entries tell what the store holds; nil where they do not.
+	// PeerSource is the view's source fed by entries; nil where the store is read directly.
 	Told *told.Source
 }
 
 // Box brings the server on its machine to the version that should run.
 type Box struct {
-	cfg    Config
-	log    log.Interface
-	server *http.Server
-	links  *links
-	giver  *uploader
-	pacer  *pace.Pacer
-	woken  chan struct{}
-	// aimed wakes the loader when a version is aimed at.
-	aimed chan struct{}
+	cfg      Config
+	log      log.Interface
+	server   *http.Server
+	links    *links
+	uploader *uploader
+	pacer    *pace.Pacer
+	wakeup   chan struct{}
+	// targetChanged wakes the loader.
+	targetChanged chan struct{}
 
 	mu      sync.Mutex
 	state   State
 	stateAt time.Time
-	fill    *filling
-	// pending is an older version whose pieces are all staged and whose turn to load has not come.
-	pending *filling
-	// closing says that the server is about to load and takes nothing new, since closedAt.
-	closing  bool
-	closedAt time.Time
-	// closes is when the server's turn to load comes.
-	closes time.Time
-	known  known
-	// relist says that what the server holds is to be looked at again.
-	relist      bool
-	newestAsked time.Time
-}
-
-// New returns a box that does not run yet.
+	active  *update
+	// pending is an older version, all staged, whose turn to load has not come.
+	pending *update
+	// draining says that the server is about to load and takes no new requests, since drainingSince.
+	draining      bool
+	drainingSince time.Time
+	// loadAt is when the server's turn to load comes; zero while none is set.
+	loadAt       time.Time
+	siblingCache siblingCache
+	// needsRelist says that the pieces staged at the server must be listed again.
+	needsRelist   bool
+	newestAskedAt time.Time
+}
+
+// New returns a box that is not running yet.
 func New(cfg Config) *Box {
 	b := &Box{
-		cfg: cfg, log: cfg.Log, woken: make(chan struct{}, 1), aimed: make(chan struct{}, 1),
-		pacer: pace.New(int64(cfg.Machine.LinkRate)).WithShare(pieceShare),
+		cfg: cfg, log: cfg.Log, wakeup: make(chan struct{}, 1), targetChanged: make(chan struct{}, 1),
+		pacer: pace.New(int64(cfg.Machine.LinkRate)).WithShare(pieceLinkPercent),
 	}
 	b.links = newLinks(b)
-	b.giver = newUploader(b)
-	b.server = &http.Server{Handler: http.HandlerFunc(b.links.accept), ReadHeaderTimeout: headerTime}
+	b.uploader = newUploader(b)
+	b.server = &http.Server{Handler: http.HandlerFunc(b.links.accept), ReadHeaderTimeout: headerTimeout}
 	return b
 }
 
-// Parts returns what runs in the box.
+// Parts returns the services that make up the box.
 func (b *Box) Parts() []supervise.Part {
 	return []supervise.Part{
 		{Name: "links", Run: b.serveLinks},
-		{Name: "reporter", Run: b.report},
-		{Name: "giver", Run: b.giver.serve},
-		{Name: "filler", Run: b.follow},
-		{Name: "loader", Run: b.followTurns},
+		{Name: "reporter", Run: b.runReports},
+		{Name: "giver", Run: b.uploader.serve},
+		{Name: "filler", Run: b.runSteps},
+		{Name: "loader", Run: b.runLoads},
 	}
 }
 
-// serveLinks takes links until ctx ends.
+// serveLinks accepts links until ctx ends.
 func (b *Box) serveLinks(ctx context.Context) error {
 	return supervise.ServeHTTP(ctx, b.server, b.cfg.Listener)
 }
 
-// wake has the box look for what to do next.
+// wake makes the step loop run now.
 func (b *Box) wake() {
 	select {
-	case b.woken <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// model returns the model that the server on this machine should run; ok is false while that is not known.
+// model returns the model that the server on this machine should run; ok is false while that is unknown.
 func (b *Box) model() (name string, ok bool) {
 	cfg := b.cfg.View.Config()
 	if cfg == nil {
@@ -120,7 +120,7 @@
 	return model.Name, ok
 }
 
-// origin returns the service that hands out weights; nil while none is known.
+// origin returns the service that serves weights; nil while none is known.
 func (b *Box) origin() *contract.Service {
 	cfg := b.cfg.View.Config()
 	if cfg == nil {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// serverID returns the id under which the server on this machine is listed now; empty while it is not.
+// serverID returns the id under which the server on this machine is listed; empty while it is not listed.
 func (b *Box) serverID() string {
 	for _, server := range b.cfg.View.Servers() {
 		if server.Address == b.cfg.Machine.UpstreamAt && server.Missing.IsZero() {
@@ -142,51 +142,49 @@
 	return ""
 }
 
-// heardOfServer reports whether the server on this machine has told its state yet.
-func (b *Box) heardOfServer() bool {
+func (b *Box) hasServerState() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.stateAt.IsZero()
 }
 
-// runs returns the version of a model that the server was last seen to run.
-func (b *Box) runs(model string) contract.Version {
+// loadedVersion returns the version of a model in the server's last known state.
+func (b *Box) loadedVersion(model string) contract.Version {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.state.Loaded[model]
 }
 
-// self returns this box as a member of the fleet; its host is its id.
+// self returns this box as a member of the fleet; its address is its id.
 func (b *Box) self() swarm.Member {
 	return swarm.Member{ID: b.cfg.Machine.Address, Site: b.cfg.Machine.Site}
 }
 
-// sitePeers returns the boxes of this site among some.
-func (b *Box) sitePeers(of []swarm.Member) []swarm.Member {
-	return slices.DeleteFunc(slices.Clone(of), func(m swarm.Member) bool { return m.Site != b.cfg.Machine.Site })
+// sitePeers returns the members that are in this site.
+func (b *Box) sitePeers(members []swarm.Member) []swarm.Member {
+	return slices.DeleteFunc(slices.Clone(members), func(m swarm.Member) bool { return m.Site != b.cfg.Machine.Site })
 }
 
-// siblings returns the boxes of the servers of this service, this one among them; the list is not to be changed. It is made anew
-// when any belief changes, and now and then, since servers that are missing count for a while only.
+// siblings returns the boxes of this service's servers, including this box; callers must not change the list. It is rebuilt
+// when the view changes, and periodically since missing servers count only for a limited time.
 func (b *Box) siblings() []swarm.Member {
 	changed := b.cfg.View.Changed()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.known.changed != changed || clock.Since(b.known.at) > siblingsAge {
-		b.known = known{siblings: b.listSiblings(), changed: changed, at: clock.Now()}
+	if b.siblingCache.changed != changed || clock.Since(b.siblingCache.listedAt) > siblingsMaxAge {
+		b.siblingCache = siblingCache{siblings: b.listSiblings(), changed: changed, listedAt: clock.Now()}
 	}
-	return b.known.siblings
+	return b.siblingCache.siblings
 }
 
-// known are the siblings of a box, and when they were listed.
-type known struct {
+// siblingCache is the list of a box's siblings and when it was made.
+type siblingCache struct {
 	siblings []swarm.Member
 	changed  <-chan struct{}
-	at       time.Time
+	listedAt time.Time
 }
 
-// listSiblings lists them. Those of servers that leave take no part: a box that ended with its server after it was to draw pieces
-// held a whole version up.
+// listSiblings omits the boxes of leaving servers: pieces assigned to one that stops would delay the whole version.
 func (b *Box) listSiblings() []swarm.Member {
 	self := b.self()
 	members := []swarm.Member{self}
@@ -202,21 +200,20 @@
 	return members
 }
 
-// current returns the version on its way; nil when there is none.
-func (b *Box) current() *filling {
+// current returns the active update; nil when there is none.
+func (b *Box) current() *update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fill
+	return b.active
 }
 
-// filling returns the version whose manifest has a key: the one on its way, or an older one that waits for its turn and is
-// still given to others; nil when it is neither.
-func (b *Box) filling(key uint64) *filling {
+// updateByKey returns the active or pending update whose manifest has a key; nil when neither has.
+func (b *Box) updateByKey(key uint64) *update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, f := range []*filling{b.fill, b.pending} {
-		if f != nil && f.feed != nil && f.key == key {
-			return f
+	for _, u := range []*update{b.active, b.pending} {
+		if u != nil && u.feed != nil && u.key == key {
+			return u
 		}
 	}
 	return nil
--- a/fill/fetch.go
+++ b/fill/fetch.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// manifestWait is how long a box that is not the first of its site waits for the manifest of a neighbour.
-	manifestWait = 500 * time.Millisecond
-	// newestPause is how long after asking for the newest version it is asked for again.
-	newestPause = time.Second
+	// neighbourManifestWait is how long a box waits for a neighbour's manifest before it asks the origin; the first box of a
+	// site does not wait.
+	neighbourManifestWait = 500 * time.Millisecond
+	// newestInterval is the minimum time between requests for the newest version.
+	newestInterval = time.Second
 )
 
-// askNewest asks the origin which version is the newest, when nobody has named one and the server runs none.
-func (b *Box) askNewest(ctx context.Context, model string) {
+// fetchNewestVersion asks the origin for the newest version when none has been named and the server runs none.
+func (b *Box) fetchNewestVersion(ctx context.Context, model string) {
 	origin := b.origin()
 	b.mu.Lock()
-	due := len(b.state.Loaded) == 0 && !b.stateAt.IsZero() && origin != nil && clock.Since(b.newestAsked) > newestPause
+	due := len(b.state.Loaded) == 0 && !b.stateAt.IsZero() && origin != nil && clock.Since(b.newestAskedAt) > newestInterval
 	if due {
-		b.newestAsked = clock.Now()
+		b.newestAskedAt = clock.Now()
 	}
 	b.mu.Unlock()
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, originTime)
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
 	m, err := b.cfg.Origin.Manifest(ctx, origin.Origin, model, 0)
 	if err != nil {
@@ -41,45 +42,44 @@
 	b.cfg.View.OfferTarget(contract.Target{Model: model, Version: m.Version}, 0)
 }
 
-// haveManifest makes sure of the version's manifest: from a neighbour, or from the origin when this box is the first of
-// its site or none came in time.
-func (b *Box) haveManifest(f *filling) bool {
+// ensureManifest gets the version's manifest from a neighbour, or from the origin if this box is the first of its site or
+// no neighbour sent it in time. It reports whether the manifest is known already.
+func (b *Box) ensureManifest(u *update) bool {
 	b.mu.Lock()
-	have, asking := f.manifest != nil, f.asking
+	have, asking := u.manifest != nil, u.downloadingManifest
 	b.mu.Unlock()
 	if have {
 		return true
 	}
 	members := b.siblings()
-	homes := swarm.NewOrder(f.model, 1, members).Homes(0)
-	b.links.want(f.ctx, append(b.sitePeers(homes), swarm.Neighbours(b.self(), members)...))
-	b.links.rejoin(f)
-	wait := manifestWait
+	homes := swarm.NewOrder(u.model, 1, members).Homes(0)
+	b.links.ensureLinks(u.ctx, append(b.sitePeers(homes), swarm.Neighbours(b.self(), members)...))
+	b.links.rejoin(u)
+	wait := neighbourManifestWait
 	if slices.Contains(homes, b.self()) {
 		wait = 0
 	}
 	origin := b.origin()
-	if asking || clock.Since(f.began) < wait || origin == nil {
+	if asking || clock.Since(u.startedAt) < wait || origin == nil {
 		return false
 	}
 	b.mu.Lock()
-	f.asking = true
+	u.downloadingManifest = true
 	b.mu.Unlock()
-	go b.drawManifest(f, origin.Origin)
+	go b.downloadManifest(u, origin.Origin)
 	return false
 }
 
-// drawManifest fetches the manifest from the origin at an address.
-func (b *Box) drawManifest(f *filling, address string) {
-	ctx, cancel := context.WithTimeout(f.ctx, originTime)
+func (b *Box) downloadManifest(u *update, address string) {
+	ctx, cancel := context.WithTimeout(u.ctx, originTimeout)
 	defer cancel()
-	m, err := b.cfg.Origin.Manifest(ctx, address, f.model, f.version)
+	m, err := b.cfg.Origin.Manifest(ctx, address, u.model, u.version)
 	if err != nil {
 		b.log.WithField("cause", err.Error()).Warn("fill: no manifest from the origin")
-		time.Sleep(orderPause)
+		time.Sleep(orderRetryDelay)
 	}
 	b.mu.Lock()
-	f.asking = false
+	u.downloadingManifest = false
 	b.mu.Unlock()
 	if err == nil {
 		b.takeManifest(m, "origin")
@@ -87,31 +87,31 @@
 	b.wake()
 }
 
-// takeManifest takes the manifest of the version aimed at, and finds out which of its pieces the server holds.
+// takeManifest sets the manifest of the active update and finds out which of its pieces the server holds.
 func (b *Box) takeManifest(m *Manifest, from string) {
 	b.mu.Lock()
-	f := b.fill
-	if f == nil || f.model != m.Model || f.version != m.Version || f.manifest != nil {
+	u := b.active
+	if u == nil || u.model != m.Model || u.version != m.Version || u.manifest != nil {
 		b.mu.Unlock()
 		return
 	}
-	f.manifest, f.key = m, m.Key()
+	u.manifest, u.key = m, m.Key()
 	b.mu.Unlock()
 	began := clock.Now()
-	have := b.heldPieces(f.ctx, m)
+	have := b.verifiedPieces(u.ctx, m)
 	members := b.siblings()
 	b.mu.Lock()
-	f.feed = swarm.NewFeed(b.feedParams(m), b.self(), b.orderOf(f, members), have, clock.Now())
+	u.feed = swarm.NewFeed(b.feedParams(m), b.self(), b.assignPieces(u, members), have, clock.Now())
 	b.mu.Unlock()
 	b.log.WithFields(log.Fields{
 		"model": m.Model, "version": int64(m.Version), "from": from, "held": len(have), "pieces": len(m.Digests),
 		"read_ms": clock.Since(began).Milliseconds(),
 	}).Info("fill: manifest taken")
-	b.links.begin(f)
+	b.links.announceManifest(u)
 	b.wake()
 }
 
-// feedParams returns the times of a feed: how fast the origin hands out pieces follows from its link.
+// feedParams returns the parameters of a feed; the origin's link rate sets the interval between its pieces.
 func (b *Box) feedParams(m *Manifest) swarm.FeedParams {
 	var params swarm.FeedParams
 	if origin := b.origin(); origin != nil && origin.LinkRate > 0 {
@@ -120,9 +120,9 @@
 	return params
 }
 
-// heldPieces reads back what the server holds and returns the pieces that fit a manifest.
-func (b *Box) heldPieces(ctx context.Context, m *Manifest) []int {
-	ctx, cancel := context.WithTimeout(ctx, originTime)
+// verifiedPieces reads back the pieces that the server holds and returns those that match the manifest.
+func (b *Box) verifiedPieces(ctx context.Context, m *Manifest) []int {
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
 	held, err := b.cfg.Engine.Held(ctx, m.Model)
 	if err != nil {
@@ -131,7 +131,7 @@
 	var have []int
 	for _, piece := range held {
 		data, err := b.cfg.Engine.Staged(ctx, m.Model, piece)
-		if err == nil && m.Fits(piece, data) {
+		if err == nil && m.Matches(piece, data) {
 			have = append(have, piece)
 		}
 	}
--- a/fill/fill_test.go
+++ b/fill/fill_test.go
@@ -5,103 +5,103 @@
 	"time"
 )
 
-const fillLimit = 20 * time.Second
+const loadTimeLimit = 20 * time.Second
 
 func TestEmptyServersAreFilled(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 6, 4*time.Second)
 	s.startAll(1)
-	s.wait(1, fillLimit)
-	if drawn := s.origin.drawn(1); drawn > testPieces+testPieces/2 {
-		t.Errorf("%d pieces drawn for six boxes, want about %d", drawn, testPieces)
+	s.waitLoaded(1, loadTimeLimit)
+	if drawn := s.origin.downloaded(1); drawn > testPieces+testPieces/2 {
+		t.Errorf("%d pieces downloaded for six boxes, want about %d", drawn, testPieces)
 	}
 }
 
-func TestNewServerTakesFromItsNeighbours(t *testing.T) {
+func TestNewServerFetchesFromNeighbours(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 4, 4*time.Second)
 	for _, engine := range s.engines[:3] {
-		engine.runFrom(1)
+		engine.loadVersion(1)
 	}
 	for i := range 3 {
 		s.start(i, 1)
 	}
 	time.Sleep(500 * time.Millisecond)
 	s.start(3, 1)
-	s.wait(1, fillLimit)
-	if drawn := s.origin.drawn(1); drawn != 0 {
-		t.Errorf("%d pieces drawn though three neighbours hold all", drawn)
+	s.waitLoaded(1, loadTimeLimit)
+	if drawn := s.origin.downloaded(1); drawn != 0 {
+		t.Errorf("%d pieces downloaded though three neighbours hold all", drawn)
 	}
 }
 
-func TestRestartedBoxTakesWhatItsServerHolds(t *testing.T) {
+func TestRestartedBoxReusesStagedPieces(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 4*time.Second)
-	s.engines[0].fillWith(1)
+	s.engines[0].stageVersion(1)
 	s.start(0, 1)
-	s.wait(1, fillLimit)
-	if drawn := s.origin.drawn(1); drawn != 0 {
-		t.Errorf("%d pieces drawn though the server holds all", drawn)
+	s.waitLoaded(1, loadTimeLimit)
+	if drawn := s.origin.downloaded(1); drawn != 0 {
+		t.Errorf("%d pieces downloaded though the server holds all", drawn)
 	}
 }
 
-func TestNoVersionNamed(t *testing.T) {
+func TestLoadsNewestVersionWhenNoneIsNamed(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 4*time.Second)
 	s.startAll(0)
-	s.wait(1, fillLimit)
+	s.waitLoaded(1, loadTimeLimit)
 }
 
 func TestSpoiltPiecesAreDrawnAgain(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 3, 4*time.Second)
-	s.origin.spoil = func(draw int) bool { return draw%3 == 0 }
+	s.origin.corrupt = func(download int) bool { return download%3 == 0 }
 	s.startAll(1)
-	s.wait(1, fillLimit)
+	s.waitLoaded(1, loadTimeLimit)
 }
 
 func TestNewVersionReachesAllByItsBound(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 5, 4*time.Second)
 	s.startRunning()
-	s.name(2)
-	s.wait(2, 4*time.Second)
+	s.nameVersion(2)
+	s.waitLoaded(2, 4*time.Second)
 }
 
 func TestPiecesThatRotAreFetchedBeforeTheOrder(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 4*time.Second)
 	s.startRunning()
-	s.name(2)
+	s.nameVersion(2)
 	time.Sleep(1500 * time.Millisecond)
 	engine := s.engines[0]
 	engine.mu.Lock()
-	engine.pieces[3] = []byte("rotten")
+	engine.pieces[3] = []byte("corrupt")
 	engine.mu.Unlock()
-	// The engine fails the test when an order meets the rotten piece.
-	s.wait(2, fillLimit)
+	// The engine fails the test when an order meets the corrupt piece.
+	s.waitLoaded(2, loadTimeLimit)
 }
 
 func TestOlderVersionIsLoadedInItsTurn(t *testing.T) {
 	t.Parallel()
 	s := newSiteOfTwoVersions(t)
-	s.wait(3, fillLimit)
+	s.waitLoaded(3, loadTimeLimit)
 	for i, engine := range s.engines {
 		if len(engine.orders) != 2 || engine.orders[0] != 2 || engine.orders[1] != 3 {
-			t.Errorf("server %d was ordered %v, want 2 then 3", i, engine.orders)
+			t.Errorf("server %d was ordered to load %v, want 2 then 3", i, engine.orders)
 		}
 	}
 }
 
-func TestLostAnswerToAnOrderIsSettledByAsking(t *testing.T) {
+func TestLostOrderReplyIsResolvedByState(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 4*time.Second)
-	s.engines[0].lose = true
+	s.engines[0].loseReply = true
 	s.start(0, 1)
-	s.wait(1, fillLimit)
+	s.waitLoaded(1, loadTimeLimit)
 	time.Sleep(500 * time.Millisecond)
 	if n := len(s.engines[0].orders); n != 1 {
-		t.Errorf("%d orders taken, want the one whose answer was lost", n)
+		t.Errorf("%d orders accepted, want the one whose reply was lost", n)
 	}
 }
 
@@ -109,11 +109,11 @@
 	t.Parallel()
 	s := newSite(t, 8, 4*time.Second)
 	s.startRunning()
-	s.name(2)
-	s.wait(2, fillLimit)
+	s.nameVersion(2)
+	s.waitLoaded(2, loadTimeLimit)
 	s.origin.mu.Lock()
 	defer s.origin.mu.Unlock()
-	if asked := s.origin.asked[2]; asked > 2 {
+	if asked := s.origin.manifestDownloads[2]; asked > 2 {
 		t.Errorf("%d boxes in two sites asked the origin for a manifest, want 2", asked)
 	}
 }
@@ -122,6 +122,6 @@
 	t.Parallel()
 	s := newSiteOfTwoVersions(t)
 	time.Sleep(50 * time.Millisecond)
-	s.engines[1].rot(4)
-	s.wait(3, fillLimit)
+	s.engines[1].corruptPiece(4)
+	s.waitLoaded(3, loadTimeLimit)
 }
--- a/fill/filler.go
+++ b/fill/filler.go
@@ -9,115 +9,115 @@
 )
 
 const (
-	// followEvery is how often a box looks for what to do next when nothing wakes it while a version is on its way, restEvery when
-	// none is: each look wakes a processor that has nothing else to do.
-	followEvery = 25 * time.Millisecond
-	restEvery   = 250 * time.Millisecond
-	// stepPause is how long after a look the next one comes at the earliest: what arrives meanwhile is decided on together. With
-	// 30 boxes in a site, each of which tells all others of each piece, a box looked 40 times a piece.
-	stepPause = 5 * time.Millisecond
-	// stateTime bounds a call for the server's state and an order to it, and how old a state may be that entries hear;
-	// originTime bounds a call to the origin and reading back all pieces, stageTime one piece to or from the server.
-	stateTime  = time.Second
-	originTime = 2 * time.Second
-	stageTime  = time.Second
+	// pollInterval and idlePollInterval are how often the box runs a step without being woken, while an update is active
+	// and while none is.
+	pollInterval     = 25 * time.Millisecond
+	idlePollInterval = 250 * time.Millisecond
+	// stepDelay is the pause after each step, so that messages that arrive together are handled in one step.
+	stepDelay = 5 * time.Millisecond
+	// stateTimeout bounds a call for the server's state, an order, and the age of a state that is reported. originTimeout bounds
+	// a call to the origin and the reading back of all pieces; stageTimeout bounds writing or reading one piece.
+	stateTimeout  = time.Second
+	originTimeout = 2 * time.Second
+	stageTimeout  = time.Second
 )
 
-// follow takes step after step towards the version that should run, until ctx ends.
-func (b *Box) follow(ctx context.Context) error {
-	timer := time.NewTimer(followEvery)
+// runSteps moves the server towards the version that should run, until ctx ends.
+func (b *Box) runSteps(ctx context.Context) error {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	for {
 		changed := b.cfg.View.Changed()
 		b.step(ctx)
-		time.Sleep(stepPause)
-		timer.Reset(b.restTime())
+		time.Sleep(stepDelay)
+		timer.Reset(b.stepInterval())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
 		case <-changed:
-		case <-b.woken:
+		case <-b.wakeup:
 		}
 	}
 }
 
-// restTime returns how soon there may be something to do that nothing wakes the box for.
-func (b *Box) restTime() time.Duration {
+// stepInterval returns how long until the next step if nothing wakes the box.
+func (b *Box) stepInterval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.pending == nil && b.fill != nil && b.state.Loaded[b.fill.model] >= b.fill.version {
-		return restEvery
+	if b.pending == nil && b.active != nil && b.state.Loaded[b.active.model] >= b.active.version {
+		return idlePollInterval
 	}
-	return followEvery
+	return pollInterval
 }
 
 // step does what can be done now towards the version that should run.
 func (b *Box) step(ctx context.Context) {
 	model, ok := b.model()
-	if !ok || !b.heardOfServer() {
+	if !ok || !b.hasServerState() {
 		return
 	}
 	target, _ := b.cfg.View.Target(model)
 	if target == 0 {
-		b.askNewest(ctx, model)
+		b.fetchNewestVersion(ctx, model)
 		return
 	}
-	f := b.aim(ctx, model, target)
-	b.listAgain(ctx, f)
-	if b.runs(model) >= f.version {
-		b.settle(f)
+	u := b.setTarget(ctx, model, target)
+	b.relistPieces(ctx, u)
+	if b.loadedVersion(model) >= u.version {
+		b.finishUpdate(u)
 		return
 	}
-	if b.haveManifest(f) {
-		b.spread(f)
+	if b.ensureManifest(u) {
+		b.requestPieces(u)
 	}
 }
 
-// spread asks other boxes and the origin for what is missing.
-func (b *Box) spread(f *filling) {
+// requestPieces asks other boxes and the origin for missing pieces.
+func (b *Box) requestPieces(u *update) {
 	members := b.siblings()
 	b.mu.Lock()
-	if f.feed == nil {
+	if u.feed == nil {
 		b.mu.Unlock()
 		return
 	}
-	if !sameList(members, f.members) && !equalMembers(members, f.members) {
-		f.feed.Reorder(b.orderOf(f, members))
+	if !sameSlice(members, u.members) && !sameMembers(members, u.members) {
+		u.feed.Reorder(b.assignPieces(u, members))
 	}
-	partners := f.partners
-	actions := f.feed.Next(clock.Now())
-	complete := f.feed.Complete()
+	partners := u.partners
+	actions := u.feed.Next(clock.Now())
+	complete := u.feed.Complete()
 	b.mu.Unlock()
 	if !complete {
-		b.links.want(f.ctx, partners)
+		b.links.ensureLinks(u.ctx, partners)
 	}
 	for _, action := range actions {
 		switch {
 		case action.Draw:
-			go b.draw(f, action.Chunk)
+			go b.downloadPiece(u, action.Chunk)
 		case action.Drop:
-			b.links.giveUp(f, action.Peer, action.Chunk)
+			b.links.cancelRequest(u, action.Peer, action.Chunk)
 		default:
-			b.links.ask(f, action.Peer, action.Chunk)
+			b.links.requestPiece(u, action.Peer, action.Chunk)
 		}
 	}
 }
 
-// orderOf returns the order of the boxes for a version's pieces, and notes them as those that take part; mu is held.
-func (b *Box) orderOf(f *filling, members []swarm.Member) *swarm.Order {
-	order := swarm.NewOrder(f.model, len(f.manifest.Digests), members)
-	f.members, f.partners = members, order.Partners(b.self())
+// assignPieces returns the order in which boxes fetch a version's pieces, and records the members it is based on;
+// mu is held.
+func (b *Box) assignPieces(u *update, members []swarm.Member) *swarm.Order {
+	order := swarm.NewOrder(u.model, len(u.manifest.Digests), members)
+	u.members, u.partners = members, order.Partners(b.self())
 	return order
 }
 
-// sameList reports whether two lists are one and the same.
-func sameList(a, b []swarm.Member) bool {
+// sameSlice reports whether two lists share their memory, which spares comparing the members.
+func sameSlice(a, b []swarm.Member) bool {
 	return len(a) == len(b) && len(a) > 0 && &a[0] == &b[0]
 }
 
-// equalMembers reports whether two lists hold the same members, in any order; neither holds one twice.
-func equalMembers(a, b []swarm.Member) bool {
+// sameMembers reports whether two lists hold the same members in any order; neither has duplicates.
+func sameMembers(a, b []swarm.Member) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/fill/fixture_test.go
+++ b/fill/fixture_test.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	testModel  = "m"
-	testPieces = 16
-	testBytes  = 2048
-	originAt   = "origin"
+	testModel     = "m"
+	testPieces    = 16
+	testBytes     = 2048
+	originAddress = "origin"
 )
 
-// pieceOf is the content of a piece of a version.
-func pieceOf(version contract.Version, piece int) []byte {
+func pieceData(version contract.Version, piece int) []byte {
 	return bytes.Repeat([]byte{byte(version), byte(piece)}, testBytes/2)
 }
 
 func manifestFor(version contract.Version) *Manifest {
 	m := &Manifest{Model: testModel, Version: version, PieceBytes: testBytes}
 	for piece := range testPieces {
-		m.Digests = append(m.Digests, sha256.Sum256(pieceOf(version, piece)))
+		m.Digests = append(m.Digests, sha256.Sum256(pieceData(version, piece)))
 	}
 	return m
 }
 
-// fakeOrigin hands out all versions; spoil says which draws arrive spoilt.
+// fakeOrigin serves all versions; corrupt selects the downloads that return corrupt data.
 type fakeOrigin struct {
-	mu     sync.Mutex
-	draws  map[contract.Version]int
-	asked  map[contract.Version]int
-	spoil  func(draw int) bool
-	newest contract.Version
-	// away has no piece be drawn.
-	away bool
+	mu                sync.Mutex
+	downloads         map[contract.Version]int
+	manifestDownloads map[contract.Version]int
+	corrupt           func(download int) bool
+	newest            contract.Version
+	// unreachable makes all piece downloads fail.
+	unreachable bool
 }
 
 func (o *fakeOrigin) Manifest(_ context.Context, _, _ string, version contract.Version) (*Manifest, error) {
@@ -50,36 +49,36 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.asked == nil {
-		o.asked = make(map[contract.Version]int)
+	if o.manifestDownloads == nil {
+		o.manifestDownloads = make(map[contract.Version]int)
 	}
-	o.asked[version]++
+	o.manifestDownloads[version]++
 	return manifestFor(version), nil
 }
 
 func (o *fakeOrigin) Piece(_ context.Context, _, _ string, version contract.Version, piece int) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.draws == nil {
-		o.draws = make(map[contract.Version]int)
+	if o.downloads == nil {
+		o.downloads = make(map[contract.Version]int)
 	}
-	if o.away {
+	if o.unreachable {
 		return nil, &net.OpError{Op: opDial, Err: context.DeadlineExceeded}
 	}
-	o.draws[version]++
-	if o.spoil != nil && o.spoil(o.draws[version]) {
-		return []byte("spoilt"), nil
+	o.downloads[version]++
+	if o.corrupt != nil && o.corrupt(o.downloads[version]) {
+		return []byte("corrupt"), nil
 	}
-	return pieceOf(version, piece), nil
+	return pieceData(version, piece), nil
 }
 
-func (o *fakeOrigin) drawn(version contract.Version) int {
+func (o *fakeOrigin) downloaded(version contract.Version) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.draws[version]
+	return o.downloads[version]
 }
 
-// fakeEngine is a server that takes pieces and orders; it fails the test when an order meets pieces that are not whole.
+// fakeEngine is a server that accepts pieces and orders; it fails the test when an ordered version is not staged completely.
 type fakeEngine struct {
 	t *testing.T
 
@@ -88,17 +87,17 @@
 	loaded contract.Version
 	seq    int64
 	orders []contract.Version
-	// lose makes the next order's answer be lost, after it was taken.
-	lose bool
-	// born is when its life began; lag has it take orders without loading.
-	born int64
-	lag  bool
+	// loseReply loses the reply to the next order, which is accepted.
+	loseReply bool
+	// startedAt is the server's start time; neverLoad makes it accept orders without loading.
+	startedAt int64
+	neverLoad bool
 }
 
 func (e *fakeEngine) State(context.Context) (State, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	state := State{Seq: e.seq, Born: e.born}
+	state := State{Seq: e.seq, Born: e.startedAt}
 	if e.loaded != 0 {
 		state.Loaded = map[string]contract.Version{testModel: e.loaded}
 	}
@@ -141,38 +140,38 @@
 		return &RefusedError{Reason: "another order came first"}
 	}
 	for piece := range testPieces {
-		if !bytes.Equal(e.pieces[piece], pieceOf(order.Version, piece)) {
-			e.t.Errorf("version %d was ordered while piece %d was not its", order.Version, piece)
+		if !bytes.Equal(e.pieces[piece], pieceData(order.Version, piece)) {
+			e.t.Errorf("version %d was ordered while piece %d was of another version", order.Version, piece)
 		}
 	}
 	e.seq++
-	if !e.lag {
+	if !e.neverLoad {
 		e.loaded = order.Version
 	}
 	e.orders = append(e.orders, order.Version)
-	if e.lose {
-		e.lose = false
+	if e.loseReply {
+		e.loseReply = false
 		return context.DeadlineExceeded
 	}
 	return nil
 }
 
-func (e *fakeEngine) runs() contract.Version {
+func (e *fakeEngine) loadedVersion() contract.Version {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.loaded
 }
 
-func (e *fakeEngine) fillWith(version contract.Version) {
+func (e *fakeEngine) stageVersion(version contract.Version) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pieces = make(map[int][]byte)
 	for piece := range testPieces {
-		e.pieces[piece] = pieceOf(version, piece)
+		e.pieces[piece] = pieceData(version, piece)
 	}
 }
 
-// fakeSource tells one list of servers and the versions that are named.
+// fakeSource returns a fixed list of servers and the versions sent on named.
 type fakeSource struct {
 	declared view.Declared
 	servers  view.Servers
@@ -197,21 +196,20 @@
 	return view.Servers{}, ctx.Err()
 }
 
-// runFrom has the server hold and run a version already.
-func (e *fakeEngine) runFrom(version contract.Version) {
-	e.fillWith(version)
+// loadVersion makes the server hold and run a version.
+func (e *fakeEngine) loadVersion(version contract.Version) {
+	e.stageVersion(version)
 	e.loaded = version
 }
 
-// rot turns a piece that lies at the server bad.
-func (e *fakeEngine) rot(piece int) {
+func (e *fakeEngine) corruptPiece(piece int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pieces[piece] = []byte("bad")
+	e.pieces[piece] = []byte("corrupt")
 }
 
-// taken returns how many orders were taken.
-func (e *fakeEngine) taken() int {
+// orderCount returns the number of accepted orders.
+func (e *fakeEngine) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.orders)
--- a/fill/inlink.go
+++ b/fill/inlink.go
@@ -8,41 +8,41 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// inLink is a link that another daemon opened: a box that asks for pieces, or an entry that hears reports.
-type inLink struct {
-	links  *links
-	conn   *link.Conn
-	id     string
-	site   string
-	entry  bool
-	giving giving
-	// weight is for how many entries an entry stands, host where it takes links, told the entries that it was told of; guarded by
-	// the mutex of the links.
-	weight float64
-	host   string
-	told   []string
-	// awayAt is when the entry said that it has lost the store; guarded by the mutex of the links.
-	awayAt time.Time
+// inboundLink is a link opened by another daemon: a box that requests pieces, or an entry that receives reports.
+type inboundLink struct {
+	links   *links
+	conn    *link.Conn
+	id      string
+	site    string
+	entry   bool
+	uploads uploadClock
+	// weight is the number of entries that this one stands for, host where it accepts links, sentHosts the entries last sent
+	// to it; all guarded by the links' mutex.
+	weight    float64
+	host      string
+	sentHosts []string
+	// storeLostAt is when the entry reported that it lost the store; guarded by the links' mutex.
+	storeLostAt time.Time
 
 	mu sync.Mutex
-	// key is the version of which the other box asks.
-	key      uint64
-	manifest *link.WantManifest
-	reports  chan *link.Report
+	// requestedKey is the manifest key of the version that the other box requests.
+	requestedKey   uint64
+	wantedManifest *link.WantManifest
+	reports        chan *link.Report
 }
 
-func newInLink(ls *links, conn *link.Conn, hello *link.Hello) *inLink {
-	return &inLink{
+func newInboundLink(ls *links, conn *link.Conn, hello *link.Hello) *inboundLink {
+	return &inboundLink{
 		links: ls, conn: conn, id: hello.ID, site: hello.Site, entry: hello.Role == link.RoleEntry,
 		weight: max(hello.Weight, 1), host: hello.Host,
 		reports: make(chan *link.Report, 1),
 	}
 }
 
-// run takes what the other daemon sends until the link ends.
-func (l *inLink) run() {
+// run handles incoming messages until the link ends.
+func (l *inboundLink) run() {
 	go func() {
-		for l.sendNext() {
+		for l.sendNextReport() {
 			continue
 		}
 	}()
@@ -55,12 +55,11 @@
 	}
 }
 
-// handle takes one message.
-func (l *inLink) handle(msg link.Message) {
+func (l *inboundLink) handle(msg link.Message) {
 	b := l.links.box
 	switch m := msg.(type) {
 	case *link.Hello:
-		l.links.weigh(l, m.Weight)
+		l.links.setWeight(l, m.Weight)
 	case *link.Target:
 		b.cfg.View.OfferTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
 	case *link.WantManifest:
@@ -76,99 +75,99 @@
 	}
 }
 
-// handleWantManifest notes which manifest the other box waits for, and sends it when it is known.
-func (l *inLink) handleWantManifest(m *link.WantManifest) {
+// handleWantManifest records which manifest the other box wants, and sends it if it is known.
+func (l *inboundLink) handleWantManifest(m *link.WantManifest) {
 	l.mu.Lock()
-	l.manifest = m
+	l.wantedManifest = m
 	l.mu.Unlock()
-	if f := l.links.box.current(); f != nil {
-		l.giveManifest(f)
+	if u := l.links.box.current(); u != nil {
+		l.sendManifest(u)
 	}
 }
 
-// giveManifest sends the manifest that the other box waits for, if this is it.
-func (l *inLink) giveManifest(f *filling) {
+// sendManifest sends the update's manifest if it is the one that the other box wants.
+func (l *inboundLink) sendManifest(u *update) {
 	b := l.links.box
 	b.mu.Lock()
-	m := f.manifest
+	m := u.manifest
 	b.mu.Unlock()
 	l.mu.Lock()
-	want := l.manifest
-	fits := want != nil && m != nil && want.Model == m.Model && contract.Version(want.Version) == m.Version
-	if fits {
-		l.manifest = nil
+	want := l.wantedManifest
+	matches := want != nil && m != nil && want.Model == m.Model && contract.Version(want.Version) == m.Version
+	if matches {
+		l.wantedManifest = nil
 	}
 	l.mu.Unlock()
-	if fits {
+	if matches {
 		l.send(m.message())
 	}
 }
 
-// handleHave takes what the other box holds: it asks for nothing of that, nor of another version.
-func (l *inLink) handleHave(m *link.Have) {
+// handleHave drops queued requests for pieces that the other box holds now, or for other versions.
+func (l *inboundLink) handleHave(m *link.Have) {
 	l.mu.Lock()
-	l.key = m.Manifest
+	l.requestedKey = m.Manifest
 	l.mu.Unlock()
-	l.links.box.giver.drop(l, m.Manifest, m.Chunks)
-	if f := l.links.box.filling(m.Manifest); f != nil && m.Reset {
-		l.tellHeld(f)
+	l.links.box.uploader.cancel(l, m.Manifest, m.Chunks)
+	if u := l.links.box.updateByKey(m.Manifest); u != nil && m.Reset {
+		l.sendHeld(u)
 	}
 }
 
-// tellHeld tells the other box what this one holds.
-func (l *inLink) tellHeld(f *filling) {
+// sendHeld sends the other box the list of pieces that this box holds.
+func (l *inboundLink) sendHeld(u *update) {
 	b := l.links.box
 	b.mu.Lock()
-	have := &link.Have{Manifest: f.key, Reset: true, Chunks: f.feed.Held(), Queue: b.giver.waiting()}
+	have := &link.Have{Manifest: u.key, Reset: true, Chunks: u.feed.Held(), Queue: b.uploader.waiting()}
 	b.mu.Unlock()
 	l.send(have)
 }
 
-// handleWant takes an ask for a piece, and declines one that is not held.
-func (l *inLink) handleWant(m *link.Want) {
+// handleWant queues a requested piece, or declines one that this box does not hold.
+func (l *inboundLink) handleWant(m *link.Want) {
 	b := l.links.box
-	f := b.filling(m.Manifest)
+	u := b.updateByKey(m.Manifest)
 	held := false
-	if f != nil {
+	if u != nil {
 		b.mu.Lock()
-		held = int(m.Chunk) < len(f.manifest.Digests) && f.feed.Holds(int(m.Chunk))
+		held = int(m.Chunk) < len(u.manifest.Digests) && u.feed.Holds(int(m.Chunk))
 		b.mu.Unlock()
 	}
 	if !held {
 		l.send(&link.Decline{Manifest: m.Manifest, Chunk: m.Chunk})
 		return
 	}
-	b.giver.add(ask{link: l, key: m.Manifest, piece: int(m.Chunk), far: l.site != b.cfg.Machine.Site, turn: place(l.id)})
+	b.uploader.add(pieceRequest{link: l, key: m.Manifest, piece: int(m.Chunk), otherSite: l.site != b.cfg.Machine.Site, loadPlace: loadPlace(l.id)})
 }
 
-// begin answers a box that asked of a version before this box knew its manifest.
-func (l *inLink) begin(f *filling) {
-	l.giveManifest(f)
-	if l.asksOf(f) {
-		l.tellHeld(f)
+// announceManifest answers a box that asked for the version before this box knew its manifest.
+func (l *inboundLink) announceManifest(u *update) {
+	l.sendManifest(u)
+	if l.requestsFrom(u) {
+		l.sendHeld(u)
 	}
 }
 
-// asksOf reports whether a version is the one of which the other box asks.
-func (l *inLink) asksOf(f *filling) bool {
+// requestsFrom reports whether the other box requests pieces of the update's version.
+func (l *inboundLink) requestsFrom(u *update) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.key == f.key
+	return l.requestedKey == u.key
 }
 
-// got tells the other box of a new piece, or of all once they are held.
-func (l *inLink) got(f *filling, piece int, complete bool) {
+// announcePiece announces a new piece to the other box, or all pieces once the version is complete.
+func (l *inboundLink) announcePiece(u *update, piece int, complete bool) {
 	switch {
-	case !l.asksOf(f):
+	case !l.requestsFrom(u):
 	case complete:
-		l.tellHeld(f)
+		l.sendHeld(u)
 	default:
-		l.send(&link.Have{Manifest: f.key, Chunks: []uint32{uint32(piece)}, Queue: l.links.box.giver.waiting()})
+		l.send(&link.Have{Manifest: u.key, Chunks: []uint32{uint32(piece)}, Queue: l.links.box.uploader.waiting()})
 	}
 }
 
-// offer hands a report to an entry; an older one that has not left yet gives way.
-func (l *inLink) offer(report *link.Report) {
+// queueReport queues a report for an entry; it replaces an older one that has not been sent.
+func (l *inboundLink) queueReport(report *link.Report) {
 	for {
 		select {
 		case l.reports <- report:
@@ -182,8 +181,8 @@
 	}
 }
 
-// sendNext sends the next report; it reports whether the link still stands.
-func (l *inLink) sendNext() bool {
+// sendNextReport waits for a report and sends it; false once the link has ended.
+func (l *inboundLink) sendNextReport() bool {
 	select {
 	case <-l.conn.Context().Done():
 		return false
@@ -193,11 +192,11 @@
 	return true
 }
 
-func (l *inLink) send(msg link.Message) { sendInTime(l.conn, msg) }
+func (l *inboundLink) send(msg link.Message) { sendOrClose(l.conn, msg) }
 
-// sendInTime sends a message; a link that does not take it in time is ended.
-func sendInTime(conn *link.Conn, msg link.Message) {
-	if err := conn.SendWithin(askTime, msg); err != nil {
+// sendOrClose sends a message, and closes a link that does not accept it within sendTimeout.
+func sendOrClose(conn *link.Conn, msg link.Message) {
+	if err := conn.SendWithin(sendTimeout, msg); err != nil {
 		conn.Close()
 	}
 }
--- a/fill/links.go
+++ b/fill/links.go
@@ -15,59 +15,58 @@
 )
 
 const (
-	// dialTime bounds the opening of a link, dialPause is the pause after one that failed or ended.
-	dialTime  = time.Second
-	dialPause = 500 * time.Millisecond
-	// askTime is how long a full link may hold up a message before it is ended.
-	askTime = 100 * time.Millisecond
-	// keepIdle and keepProbes find a box that is cut off.
-	keepIdle   = time.Second
-	keepProbes = 2
-	linkBuffer = 2 << 10
-	// restTime is how long after its last use a link to another box stays.
-	restTime = 6 * time.Second
-	// linkSilence is how long a box that was asked in vain may have sent nothing before its link is ended and a new one is
-	// tried: a link may fall silent for good while new ones work.
-	linkSilence = 3 * time.Second
+	// dialTimeout bounds opening a link; redialDelay is the pause after one that failed or ended.
+	dialTimeout = time.Second
+	redialDelay = 500 * time.Millisecond
+	// sendTimeout is how long a full link may block a message before the link is closed.
+	sendTimeout = 100 * time.Millisecond
+	// keepAliveInterval and keepAliveProbes detect a box that is unreachable.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	linkBufferBytes   = 2 << 10
+	// idleLinkTimeout is how long an unused link to another box stays open.
+	idleLinkTimeout = 6 * time.Second
+	// linkSilenceTimeout is how long a link with a failed request may have been silent before it is closed and redialled.
+	linkSilenceTimeout = 3 * time.Second
 )
 
-// links are a box's links: those it opened, on which it asks other boxes, and those it took, on which it gives to boxes
-// and reports to entries.
+// links holds the outbound links, on which the box requests pieces, and the inbound links, on which it uploads to boxes and
+// reports to entries.
 type links struct {
 	box    *Box
 	client *http.Client
 
 	mu sync.Mutex
-	// out are the links this box opened, dialing those it is opening, by the other box's id; after is when one may be opened
-	// again.
-	out     map[string]*outLink
-	dialing map[string]bool
-	after   map[string]time.Time
-	// in are the links it took; hearing counts the entries among them.
-	in      map[*inLink]bool
-	hearing int
-	// standing is for how many entries those stand that hear this box.
-	standing float64
-	// teller is the entry that tells what the store holds; nil while none does.
-	teller *inLink
+	// out and dialing are the outbound links that are open and being opened, by the other box's id; redialAfter is when
+	// one may be opened again.
+	out         map[string]*outboundLink
+	dialing     map[string]bool
+	redialAfter map[string]time.Time
+	// in are the inbound links; entryCount counts the entries among them.
+	in         map[*inboundLink]bool
+	entryCount int
+	// weightSum is the sum of the entries' weights.
+	weightSum float64
+	// relay is the entry that passes on what the store holds; nil while there is none.
+	relay *inboundLink
 }
 
 func newLinks(b *Box) *links {
 	dialer := &net.Dialer{
-		Timeout:         dialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepIdle, Count: keepProbes},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	return &links{
 		box: b,
 		client: &http.Client{Transport: &http.Transport{
-			DialContext: dialer.DialContext, ReadBufferSize: linkBuffer, WriteBufferSize: linkBuffer,
+			DialContext: dialer.DialContext, ReadBufferSize: linkBufferBytes, WriteBufferSize: linkBufferBytes,
 		}},
-		out: make(map[string]*outLink), dialing: make(map[string]bool), after: make(map[string]time.Time),
-		in: make(map[*inLink]bool),
+		out: make(map[string]*outboundLink), dialing: make(map[string]bool), redialAfter: make(map[string]time.Time),
+		in: make(map[*inboundLink]bool),
 	}
 }
 
-// accept takes a link that another daemon opens.
+// accept serves an inbound link until it ends.
 func (ls *links) accept(w http.ResponseWriter, r *http.Request) {
 	conn, err := link.Accept(w, r, ls.box.pacer)
 	if err != nil {
@@ -79,17 +78,17 @@
 	if err != nil || !ok {
 		return
 	}
-	l := newInLink(ls, conn, hello)
+	l := newInboundLink(ls, conn, hello)
 	ls.add(l)
 	defer ls.remove(l)
 	ls.box.log.WithField("peer", hello.ID).WithField("role", hello.Role).Debug("fill: link taken")
 	l.run()
 }
 
-func (ls *links) add(l *inLink) {
+func (ls *links) add(l *inboundLink) {
 	ls.mu.Lock()
 	for older := range ls.in {
-		// A daemon opens a new link when the one before is lost to it, which only it may have noticed.
+		// A daemon that reopens its link may be the only side that noticed the loss of the older one.
 		if older.id == l.id && older.entry == l.entry {
 			older.conn.Close()
 		}
@@ -103,8 +102,8 @@
 	}
 }
 
-func (ls *links) remove(l *inLink) {
-	ls.box.giver.leave(l)
+func (ls *links) remove(l *inboundLink) {
+	ls.box.uploader.removeLink(l)
 	ls.mu.Lock()
 	delete(ls.in, l)
 	ls.countEntries()
@@ -112,28 +111,28 @@
 	ls.chooseRelay()
 }
 
-// weigh notes for how many entries an entry stands now.
-func (ls *links) weigh(l *inLink, weight float64) {
+// setWeight updates the number of entries that an entry stands for.
+func (ls *links) setWeight(l *inboundLink, weight float64) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	l.weight = max(weight, 1)
 	ls.countEntries()
 }
 
-// countEntries counts the entries that hear this box; mu is held.
+// countEntries updates entryCount and weightSum; mu is held.
 func (ls *links) countEntries() {
-	ls.hearing, ls.standing = 0, 0
+	ls.entryCount, ls.weightSum = 0, 0
 	for l := range ls.in {
 		if l.entry {
-			ls.hearing++
-			ls.standing += l.weight
+			ls.entryCount++
+			ls.weightSum += l.weight
 		}
 	}
 }
 
-// tellEntries tells the entries that hear this box of the others of their sites, if these have changed: one entry of a site reads
-// the list of servers for the others.
-func (ls *links) tellEntries() {
+// sendEntryHosts sends each entry the hosts of the entries of its site if they changed: one entry of a site reads the list of
+// servers for all.
+func (ls *links) sendEntryHosts() {
 	ls.mu.Lock()
 	bySite := make(map[string][]string)
 	for l := range ls.in {
@@ -144,10 +143,10 @@
 	for _, hosts := range bySite {
 		slices.Sort(hosts)
 	}
-	var changed []*inLink
+	var changed []*inboundLink
 	for l := range ls.in {
-		if hosts := bySite[l.site]; l.entry && l.host != "" && !slices.Equal(hosts, l.told) {
-			l.told = hosts
+		if hosts := bySite[l.site]; l.entry && l.host != "" && !slices.Equal(hosts, l.sentHosts) {
+			l.sentHosts = hosts
 			changed = append(changed, l)
 		}
 	}
@@ -157,27 +156,27 @@
 	}
 }
 
-// entries returns how many entries hear this box, and for how many they stand.
-func (ls *links) entries() (hearing int, standing float64) {
+// entries returns how many entries are linked, and the sum of their weights.
+func (ls *links) entries() (count int, weight float64) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	return ls.hearing, ls.standing
+	return ls.entryCount, ls.weightSum
 }
 
-// tell sends a message to all entries that hear this box; one whose link is full misses it.
-func (ls *links) tell(report *link.Report) {
+// broadcastReport queues a report for all linked entries.
+func (ls *links) broadcastReport(report *link.Report) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for l := range ls.in {
 		if l.entry {
-			l.offer(report)
+			l.queueReport(report)
 			reportsSent.Inc()
 		}
 	}
 }
 
-// want opens links to the boxes to which there is none.
-func (ls *links) want(ctx context.Context, members []swarm.Member) {
+// ensureLinks opens missing links to boxes and marks the existing ones as used.
+func (ls *links) ensureLinks(ctx context.Context, members []swarm.Member) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	now := clock.Now()
@@ -185,8 +184,8 @@
 		switch {
 		case member.ID == ls.box.cfg.Machine.Address:
 		case ls.out[member.ID] != nil:
-			ls.out[member.ID].used = now
-		case ls.dialing[member.ID] || now.Before(ls.after[member.ID]):
+			ls.out[member.ID].usedAt = now
+		case ls.dialing[member.ID] || now.Before(ls.redialAfter[member.ID]):
 		default:
 			ls.dialing[member.ID] = true
 			go ls.dial(ctx, member)
@@ -194,41 +193,41 @@
 	}
 }
 
-// rejoin asks for the manifest of a version over the links that stood before it was aimed at.
-func (ls *links) rejoin(f *filling) {
+// rejoin joins a version on links that were opened for an earlier one.
+func (ls *links) rejoin(u *update) {
 	ls.mu.Lock()
-	var out []*outLink
+	var out []*outboundLink
 	for _, l := range ls.out {
-		if l.joined != f.version {
+		if l.joined != u.version {
 			out = append(out, l)
 		}
 	}
 	ls.mu.Unlock()
 	for _, l := range out {
-		l.join(f)
+		l.join(u)
 	}
 }
 
-// rest ends links that have not been used for some time.
-func (ls *links) rest() {
+// closeIdle closes links that have not been used for idleLinkTimeout.
+func (ls *links) closeIdle() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for _, l := range ls.out {
-		if clock.Since(l.used) > restTime {
+		if clock.Since(l.usedAt) > idleLinkTimeout {
 			l.conn.Close()
 		}
 	}
 }
 
-// dial opens a link and runs it until it ends.
+// dial opens a link and serves it until it ends.
 func (ls *links) dial(ctx context.Context, member swarm.Member) {
 	defer func() {
 		ls.mu.Lock()
 		defer ls.mu.Unlock()
 		delete(ls.dialing, member.ID)
-		ls.after[member.ID] = clock.Now().Add(dialPause)
+		ls.redialAfter[member.ID] = clock.Now().Add(redialDelay)
 	}()
-	dialCtx, cancel := context.WithTimeout(ctx, dialTime)
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := link.Dial(dialCtx, ls.client, ls.box.cfg.Machine.LinkAt(member.ID), nil)
 	if err != nil {
@@ -240,7 +239,7 @@
 		return
 	}
 	now := clock.Now()
-	l := &outLink{links: ls, conn: conn, member: member, used: now, heard: now}
+	l := &outboundLink{links: ls, conn: conn, member: member, usedAt: now, receivedAt: now}
 	ls.mu.Lock()
 	ls.out[member.ID] = l
 	delete(ls.dialing, member.ID)
@@ -253,25 +252,25 @@
 	ls.mu.Unlock()
 }
 
-// begin tells all links that the pieces of a version can be asked for and given.
-func (ls *links) begin(f *filling) {
+// announceManifest tells all links that the version's manifest is known and its pieces can be exchanged.
+func (ls *links) announceManifest(u *update) {
 	ls.mu.Lock()
 	out := slices.Collect(maps.Values(ls.out))
 	ls.mu.Unlock()
-	in := ls.boxes()
+	in := ls.inboundBoxes()
 	for _, l := range out {
-		l.join(f)
+		l.join(u)
 	}
 	for _, l := range in {
-		l.begin(f)
+		l.announceManifest(u)
 	}
 }
 
-// boxes returns the links that other boxes opened.
-func (ls *links) boxes() []*inLink {
+// inboundBoxes returns the inbound links of boxes.
+func (ls *links) inboundBoxes() []*inboundLink {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	var in []*inLink
+	var in []*inboundLink
 	for l := range ls.in {
 		if !l.entry {
 			in = append(in, l)
@@ -280,30 +279,30 @@
 	return in
 }
 
-// ask asks a box for a piece that it holds.
-func (ls *links) ask(f *filling, peer string, piece int) {
-	ls.sendTo(peer, &link.Want{Manifest: f.key, Chunk: uint32(piece)})
+// requestPiece requests a piece from a box that holds it.
+func (ls *links) requestPiece(u *update, peer string, piece int) {
+	ls.sendTo(peer, &link.Want{Manifest: u.key, Chunk: uint32(piece)})
 }
 
-// giveUp tells a box that a piece asked of it is no longer wanted; a link on which nothing comes any more is ended.
-func (ls *links) giveUp(f *filling, peer string, piece int) {
+// cancelRequest cancels a piece request; a link that has been silent for too long is closed instead.
+func (ls *links) cancelRequest(u *update, peer string, piece int) {
 	ls.mu.Lock()
 	l := ls.out[peer]
-	silent := l != nil && clock.Since(l.heard) > linkSilence
+	silent := l != nil && clock.Since(l.receivedAt) > linkSilenceTimeout
 	ls.mu.Unlock()
 	if silent {
 		l.conn.Close()
 		return
 	}
-	ls.drop(f, peer, piece)
+	ls.sendCancel(u, peer, piece)
 }
 
-// drop tells a box that a piece asked of it is no longer wanted.
-func (ls *links) drop(f *filling, peer string, piece int) {
-	ls.sendTo(peer, &link.Have{Manifest: f.key, Chunks: []uint32{uint32(piece)}})
+// sendCancel tells a box that a requested piece is no longer wanted.
+func (ls *links) sendCancel(u *update, peer string, piece int) {
+	ls.sendTo(peer, &link.Have{Manifest: u.key, Chunks: []uint32{uint32(piece)}})
 }
 
-// sendTo sends a message on the link that this box opened to another, if there is one.
+// sendTo sends a message on the outbound link to a box, if there is one.
 func (ls *links) sendTo(peer string, msg link.Message) {
 	ls.mu.Lock()
 	l := ls.out[peer]
@@ -313,17 +312,17 @@
 	}
 }
 
-// got tells the boxes of the own site of a new piece unless they are known to hold it, those of other sites too when they wait
-// for this box to draw it, and the box that was asked for it in vain that it is no longer wanted.
-func (ls *links) got(f *filling, piece int, asked string, complete, drawer bool) {
-	in := ls.boxes()
-	ls.drop(f, asked, piece)
+// announcePiece announces a new piece to boxes of this site not known to hold it, and to other sites if this box downloads it
+// from the origin for them; it cancels the request to the box that was asked in vain.
+func (ls *links) announcePiece(u *update, piece int, asked string, complete, downloader bool) {
+	in := ls.inboundBoxes()
+	ls.sendCancel(u, asked, piece)
 	ls.box.mu.Lock()
-	in = slices.DeleteFunc(in, func(l *inLink) bool {
-		return !complete && (!drawer && l.site != ls.box.cfg.Machine.Site || f.feed.PeerHolds(l.id, piece))
+	in = slices.DeleteFunc(in, func(l *inboundLink) bool {
+		return !complete && (!downloader && l.site != ls.box.cfg.Machine.Site || u.feed.PeerHolds(l.id, piece))
 	})
 	ls.box.mu.Unlock()
 	for _, l := range in {
-		l.got(f, piece, complete)
+		l.announcePiece(u, piece, complete)
 	}
 }
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -12,45 +12,44 @@
 )
 
 const (
-	// closeTime is how long before its order a server is said to take nothing new, also when its turn has passed: what arrives
-	// after the order, and what waits then, is refused (24 of 25 streams that were cut beside planned work, seven plays).
-	closeTime = 120 * time.Millisecond
-	// orderPause is how long after an order that was refused or not answered the next may be given.
-	orderPause = 200 * time.Millisecond
-	// freshCheck is how old the reading back of all pieces may be when the order is given.
-	freshCheck = 150 * time.Millisecond
+	// drainNotice is how long entries are told that the server drains before its load order is sent, also when its turn has
+	// passed: the server refuses requests that arrive after the order or still wait then.
+	drainNotice = 120 * time.Millisecond
+	// orderRetryDelay is the pause after an order that was refused or not answered.
+	orderRetryDelay = 200 * time.Millisecond
+	// verificationMaxAge bounds the age of the last verification of all pieces when the order is sent.
+	verificationMaxAge = 150 * time.Millisecond
 )
 
-// followTurns loads versions when their turn comes, until ctx ends.
-func (b *Box) followTurns(ctx context.Context) error {
-	timer := time.NewTimer(followEvery)
+// runLoads loads versions when their turn comes, until ctx ends.
+func (b *Box) runLoads(ctx context.Context) error {
+	timer := time.NewTimer(pollInterval)
 	defer timer.Stop()
 	for {
 		b.loadPending(ctx)
-		if f := b.current(); f != nil && b.runs(f.model) < f.version {
-			b.stageMemory(f)
-			b.load(ctx, f)
+		if u := b.current(); u != nil && b.loadedVersion(u.model) < u.version {
+			b.stageBuffered(u)
+			b.load(ctx, u)
 		}
-		timer.Reset(b.restTime())
+		timer.Reset(b.stepInterval())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-		case <-b.aimed:
+		case <-b.targetChanged:
 		}
 	}
 }
 
-// loadPending loads an older version whose pieces were complete when a newer one was named: its turn comes first, and
-// the server is then not as long behind.
+// loadPending loads an older version that was complete when a newer one was named, so that the server falls less behind.
 func (b *Box) loadPending(ctx context.Context) {
 	b.mu.Lock()
 	p := b.pending
-	// Pieces are fetched for the newest version only: one with a piece that turned bad would stand in its way for good.
-	if p != nil && (b.state.Loaded[p.model] >= p.version || p.given || !p.feed.Complete()) {
+	// Only the newest version's pieces are fetched: a pending version with a corrupt piece would never complete.
+	if p != nil && (b.state.Loaded[p.model] >= p.version || p.accepted || !p.feed.Complete()) {
 		p.cancel()
 		b.pending, p = nil, nil
-		b.reopen()
+		b.clearTurn()
 	}
 	b.mu.Unlock()
 	if p != nil {
@@ -58,59 +57,59 @@
 	}
 }
 
-// stageMemory lays the pieces held in memory at the server once its place is free.
-func (b *Box) stageMemory(f *filling) {
+// stageBuffered stages the buffered pieces once no pending version occupies the server's staging area.
+func (b *Box) stageBuffered(u *update) {
 	b.mu.Lock()
-	if b.pending != nil || len(f.memory) == 0 {
+	if b.pending != nil || len(u.buffered) == 0 {
 		b.mu.Unlock()
 		return
 	}
-	pieces := f.memory
-	f.memory = nil
+	pieces := u.buffered
+	u.buffered = nil
 	b.mu.Unlock()
 	for piece, data := range pieces {
-		ctx, cancel := context.WithTimeout(f.ctx, stageTime)
-		err := b.cfg.Engine.Stage(ctx, f.model, piece, data)
+		ctx, cancel := context.WithTimeout(u.ctx, stageTimeout)
+		err := b.cfg.Engine.Stage(ctx, u.model, piece, data)
 		cancel()
 		if err != nil {
 			b.mu.Lock()
-			f.feed.Lost(piece)
+			u.feed.Lost(piece)
 			b.mu.Unlock()
 		}
 	}
 }
 
-// load gives the order to run the version once all pieces are held and it is this server's turn.
-func (b *Box) load(ctx context.Context, f *filling) {
+// load orders the server to run the version once all pieces are staged and the server's turn has come.
+func (b *Box) load(ctx context.Context, u *update) {
 	b.mu.Lock()
-	ready := f.feed != nil && f.feed.Complete() && len(f.memory) == 0 && !f.given && !b.state.Busy && clock.Since(f.ordered) > orderPause
-	old := b.state.Loaded[f.model]
+	ready := u.feed != nil && u.feed.Complete() && len(u.buffered) == 0 && !u.accepted && !b.state.Busy && clock.Since(u.orderedAt) > orderRetryDelay
+	old := b.state.Loaded[u.model]
 	b.mu.Unlock()
 	if !ready {
 		return
 	}
 	turn := clock.Now()
-	if due, late := b.cfg.View.Due(f.model, old); old != 0 && late {
-		turn = b.turn(f.named, due)
+	if deadline, ok := b.cfg.View.Due(u.model, old); old != 0 && ok {
+		turn = b.loadTurn(u.namedAt, deadline)
 	}
 	b.mu.Lock()
-	b.closes = turn
+	b.loadAt = turn
 	b.mu.Unlock()
 	left := clock.Until(turn)
-	if left > closeTime {
+	if left > drainNotice {
 		return
 	}
-	if old != 0 && !b.close() {
+	if old != 0 && !b.startDraining() {
 		return
 	}
-	if left > 0 || !b.check(ctx, f) {
+	if left > 0 || !b.verifyStaged(ctx, u) {
 		return
 	}
-	b.order(ctx, f)
+	b.orderLoad(ctx, u)
 }
 
-// turn returns when this server's turn to load comes.
-func (b *Box) turn(named, due time.Time) time.Time {
+// loadTurn returns when this server's turn to load comes.
+func (b *Box) loadTurn(named, deadline time.Time) time.Time {
 	var hosts []string
 	for _, server := range b.cfg.View.Servers() {
 		if host, _, err := net.SplitHostPort(server.Address); err == nil && server.Service == b.cfg.Machine.Service && !server.Leaving {
@@ -118,42 +117,42 @@
 		}
 	}
 	rank, n := Rank(b.cfg.Machine.Address, hosts)
-	return Turn(named, due, rank, n)
+	return Turn(named, deadline, rank, n)
 }
 
-// close tells entries that the server takes nothing new; true once they have had time to hear it.
-func (b *Box) close() bool {
+// startDraining tells entries that the server takes no new requests; true once they have had time to react.
+func (b *Box) startDraining() bool {
 	b.mu.Lock()
-	was := b.closing
-	if !was {
-		b.closing, b.closedAt = true, clock.Now()
+	already := b.draining
+	if !already {
+		b.draining, b.drainingSince = true, clock.Now()
 	}
-	heard := clock.Since(b.closedAt) >= closeTime
+	noticed := clock.Since(b.drainingSince) >= drainNotice
 	b.mu.Unlock()
-	if !was {
+	if !already {
 		b.sendReport()
 	}
-	return heard
+	return noticed
 }
 
-// reopen has entries hear of no turn until there is one again: a turn that is over, told on, would keep requests away from a
-// server that has loaded (a tenth of a day's worth at 45 servers and two versions in succession). mu is held.
-func (b *Box) reopen() {
-	b.closing, b.closes = false, time.Time{}
+// clearTurn ends draining and resets the turn: if a past turn were still reported, entries would keep requests away from a
+// server that has loaded. mu is held.
+func (b *Box) clearTurn() {
+	b.draining, b.loadAt = false, time.Time{}
 }
 
-// check reads all pieces back and makes sure that they still fit; those that do not are fetched again.
-func (b *Box) check(ctx context.Context, f *filling) bool {
-	if clock.Since(f.checked) < freshCheck {
+// verifyStaged reads all pieces back and verifies them; pieces that are missing or corrupt are fetched again.
+func (b *Box) verifyStaged(ctx context.Context, u *update) bool {
+	if clock.Since(u.verifiedAt) < verificationMaxAge {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, originTime)
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
-	m := f.manifest
+	m := u.manifest
 	bad := 0
 	for piece := range m.Digests {
-		data, err := b.cfg.Engine.Staged(ctx, f.model, piece)
-		if err == nil && m.Fits(piece, data) {
+		data, err := b.cfg.Engine.Staged(ctx, u.model, piece)
+		if err == nil && m.Matches(piece, data) {
 			continue
 		}
 		if err != nil && !errors.As(err, new(*NotHeldError)) {
@@ -161,46 +160,46 @@
 		}
 		bad++
 		b.mu.Lock()
-		if f.feed != nil {
-			f.feed.Lost(piece)
+		if u.feed != nil {
+			u.feed.Lost(piece)
 		}
-		b.reopen()
+		b.clearTurn()
 		b.mu.Unlock()
 	}
 	if bad > 0 {
-		b.log.WithFields(log.Fields{"version": int64(f.version), "bad": bad}).Warn("fill: pieces turned bad and are fetched again")
+		b.log.WithFields(log.Fields{"version": int64(u.version), "bad": bad}).Warn("fill: pieces turned bad and are fetched again")
 		b.wake()
 		return false
 	}
-	f.checked = clock.Now()
+	u.verifiedAt = clock.Now()
 	return true
 }
 
-// order gives the order to load; an order whose answer is lost is settled by the server's next state.
-func (b *Box) order(ctx context.Context, f *filling) {
-	ctx, cancel := context.WithTimeout(ctx, stateTime)
+// orderLoad sends the load order; if the reply is lost, the server's next state shows the result.
+func (b *Box) orderLoad(ctx context.Context, u *update) {
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	state, err := b.cfg.Engine.State(ctx)
-	if err != nil || state.Busy || state.Loaded[f.model] >= f.version {
+	if err != nil || state.Busy || state.Loaded[u.model] >= u.version {
 		b.setState(state, err)
 		return
 	}
 	b.mu.Lock()
-	f.ordered = clock.Now()
+	u.orderedAt = clock.Now()
 	b.mu.Unlock()
-	err = b.cfg.Engine.Start(ctx, Order{Model: f.model, Version: f.version, Seq: state.Seq})
-	ordersGiven.Inc()
+	err = b.cfg.Engine.Start(ctx, Order{Model: u.model, Version: u.version, Seq: state.Seq})
+	ordersSent.Inc()
 	fields := log.Fields{
-		"model": f.model, "version": int64(f.version), "seq": state.Seq, "running": state.Running, "waiting": state.Waiting,
-		"ms": clock.Since(f.began).Milliseconds(), "cause": "",
+		"model": u.model, "version": int64(u.version), "seq": state.Seq, "running": state.Running, "waiting": state.Waiting,
+		"ms": clock.Since(u.startedAt).Milliseconds(), "cause": "",
 	}
 	if err != nil {
 		ordersFailed.Inc()
 		fields["cause"] = err.Error()
 	}
 	b.mu.Lock()
-	f.given = err == nil
-	b.closes = time.Time{}
+	u.accepted = err == nil
+	b.loadAt = time.Time{}
 	b.mu.Unlock()
 	b.log.WithFields(fields).Info("fill: order to load")
 	state, err = b.cfg.Engine.State(ctx)
--- a/fill/manifest.go
+++ b/fill/manifest.go
@@ -17,7 +17,7 @@
 	Digests    [][sha256.Size]byte
 }
 
-// Key names the manifest on links; manifests that differ in any digest have different keys.
+// Key identifies the manifest on links; manifests that differ in any digest have different keys.
 func (m *Manifest) Key() uint64 {
 	h := sha256.New()
 	h.Write([]byte(m.Model))
@@ -28,12 +28,12 @@
 	return binary.BigEndian.Uint64(h.Sum(nil))
 }
 
-// Fits reports whether data is a piece.
-func (m *Manifest) Fits(piece int, data []byte) bool {
+// Matches reports whether data has the digest of a piece.
+func (m *Manifest) Matches(piece int, data []byte) bool {
 	return piece >= 0 && piece < len(m.Digests) && sha256.Sum256(data) == m.Digests[piece]
 }
 
-// message returns the manifest as it travels on links.
+// message returns the manifest as a link message.
 func (m *Manifest) message() *link.Manifest {
 	digests := make([]byte, 0, len(m.Digests)*sha256.Size)
 	for i := range m.Digests {
@@ -42,8 +42,8 @@
 	return &link.Manifest{Model: m.Model, Version: int64(m.Version), Size: m.PieceBytes, Digests: digests}
 }
 
-// manifestOf reads a manifest that came on a link; ok is false when it is none.
-func manifestOf(msg *link.Manifest) (m *Manifest, ok bool) {
+// manifestFromLink converts a link message; ok is false when its digests are malformed.
+func manifestFromLink(msg *link.Manifest) (m *Manifest, ok bool) {
 	if len(msg.Digests) == 0 || len(msg.Digests)%sha256.Size != 0 {
 		return nil, false
 	}
--- a/fill/outlink.go
+++ b/fill/outlink.go
@@ -9,26 +9,26 @@
 	"github.com/coralstair/coralstair/swarm"
 )
 
-// outLink is a link that this box opened, to ask another for pieces.
-type outLink struct {
+// outboundLink is a link that this box opened to request pieces from another box.
+type outboundLink struct {
 	links  *links
 	conn   *link.Conn
 	member swarm.Member
-	used   time.Time
-	// heard is when the other box last sent anything; guarded by the mutex of the links.
-	heard time.Time
-	// joined is the version of which the other box was told last; guarded by the mutex of the links.
+	usedAt time.Time
+	// receivedAt is when the last message arrived; guarded by the links' mutex.
+	receivedAt time.Time
+	// joined is the version that the other box was last told of; guarded by the links' mutex.
 	joined contract.Version
 }
 
-// run takes what the other box sends until the link ends.
-func (l *outLink) run() {
+// run handles incoming messages until the link ends.
+func (l *outboundLink) run() {
 	b := l.links.box
-	l.greet()
+	l.sendTarget()
 	defer func() {
 		b.mu.Lock()
-		if b.fill != nil && b.fill.feed != nil {
-			b.fill.feed.PeerGone(l.member.ID)
+		if b.active != nil && b.active.feed != nil {
+			b.active.feed.PeerGone(l.member.ID)
 		}
 		b.mu.Unlock()
 		b.wake()
@@ -39,58 +39,57 @@
 			return
 		}
 		l.links.mu.Lock()
-		l.heard = clock.Now()
+		l.receivedAt = clock.Now()
 		l.links.mu.Unlock()
 		l.handle(msg)
 	}
 }
 
-// greet tells the other box what is aimed at, and asks for its manifest when this one has none.
-func (l *outLink) greet() {
+// sendTarget tells the other box which version this box is updating to, and joins that version.
+func (l *outboundLink) sendTarget() {
 	b := l.links.box
-	f := b.current()
-	if f == nil {
+	u := b.current()
+	if u == nil {
 		return
 	}
-	if _, named := b.cfg.View.Target(f.model); !named.IsZero() {
-		l.send(&link.Target{Model: f.model, Version: int64(f.version), Ago: clock.Since(named)})
+	if _, named := b.cfg.View.Target(u.model); !named.IsZero() {
+		l.send(&link.Target{Model: u.model, Version: int64(u.version), Ago: clock.Since(named)})
 	}
-	l.join(f)
+	l.join(u)
 }
 
-// join tells the other box what this one holds of a version; the other answers with what it holds.
-func (l *outLink) join(f *filling) {
+// join sends the pieces that this box holds, which the other box answers with its own, or asks for the manifest.
+func (l *outboundLink) join(u *update) {
 	b := l.links.box
 	l.links.mu.Lock()
-	l.joined = f.version
+	l.joined = u.version
 	l.links.mu.Unlock()
 	b.mu.Lock()
-	if f.feed == nil {
+	if u.feed == nil {
 		b.mu.Unlock()
-		l.send(&link.WantManifest{Model: f.model, Version: int64(f.version)})
+		l.send(&link.WantManifest{Model: u.model, Version: int64(u.version)})
 		return
 	}
-	f.feed.Peer(l.member)
-	have := &link.Have{Manifest: f.key, Reset: true, Chunks: f.feed.Held()}
+	u.feed.Peer(l.member)
+	have := &link.Have{Manifest: u.key, Reset: true, Chunks: u.feed.Held()}
 	b.mu.Unlock()
 	l.send(have)
 	b.wake()
 }
 
-// handle takes one message.
-func (l *outLink) handle(msg link.Message) {
+func (l *outboundLink) handle(msg link.Message) {
 	b := l.links.box
 	switch m := msg.(type) {
 	case *link.Manifest:
-		if manifest, ok := manifestOf(m); ok {
+		if manifest, ok := manifestFromLink(m); ok {
 			b.takeManifest(manifest, l.member.ID)
 		}
 	case *link.Target:
 		b.cfg.View.OfferTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
 	case *link.Have:
-		if f := b.filling(m.Manifest); f != nil {
+		if u := b.updateByKey(m.Manifest); u != nil {
 			b.mu.Lock()
-			f.feed.PeerHas(l.member.ID, m.Reset, m.Chunks, m.Queue, clock.Now())
+			u.feed.PeerHas(l.member.ID, m.Reset, m.Chunks, m.Queue, clock.Now())
 			b.mu.Unlock()
 			b.wake()
 		}
@@ -101,36 +100,35 @@
 	}
 }
 
-// handleChunk takes a piece that was asked for.
-func (l *outLink) handleChunk(m *link.Chunk) {
+func (l *outboundLink) handleChunk(m *link.Chunk) {
 	b := l.links.box
-	f := b.filling(m.Manifest)
-	if f == nil {
-		piecesTwice.Inc()
+	u := b.updateByKey(m.Manifest)
+	if u == nil {
+		piecesDuplicate.Inc()
 		return
 	}
-	if err := b.take(f, int(m.Chunk), l.member.ID, m.Waited, m.Body); err != nil {
+	if err := b.acceptPiece(u, int(m.Chunk), l.member.ID, m.Waited, m.Body); err != nil {
 		l.failed(m.Manifest, int(m.Chunk))
 		return
 	}
 	if l.member.Site == b.cfg.Machine.Site {
-		piecesNear.Inc()
+		piecesFromSite.Inc()
 	} else {
-		piecesFar.Inc()
+		piecesFromOtherSites.Inc()
 	}
 }
 
-// failed notes that a piece does not come from the other box now.
-func (l *outLink) failed(key uint64, piece int) {
+// failed records that the other box does not deliver a piece for now.
+func (l *outboundLink) failed(key uint64, piece int) {
 	b := l.links.box
-	if f := b.filling(key); f != nil {
+	if u := b.updateByKey(key); u != nil {
 		b.mu.Lock()
-		if piece < len(f.manifest.Digests) {
-			f.feed.Failed(piece, l.member.ID, clock.Now())
+		if piece < len(u.manifest.Digests) {
+			u.feed.Failed(piece, l.member.ID, clock.Now())
 		}
 		b.mu.Unlock()
 		b.wake()
 	}
 }
 
-func (l *outLink) send(msg link.Message) { sendInTime(l.conn, msg) }
+func (l *outboundLink) send(msg link.Message) { sendOrClose(l.conn, msg) }
--- a/fill/piece.go
+++ b/fill/piece.go
@@ -12,129 +12,130 @@
 )
 
 const (
-	// opDial is how package net names the opening of a connection.
+	// opDial is the name that package net gives to opening a connection.
 	opDial = "dial"
-	// badManifest is how many drawn pieces in a row may not fit before the manifest itself is drawn again.
-	badManifest = 3
+	// maxCorruptPieces is how many pieces in a row may mismatch before the manifest is fetched again.
+	maxCorruptPieces = 3
 )
 
-// draw fetches one piece from the origin.
-func (b *Box) draw(f *filling, piece int) {
-	ctx, cancel := context.WithTimeout(f.ctx, originTime)
+// downloadPiece fetches one piece from the origin.
+func (b *Box) downloadPiece(u *update, piece int) {
+	ctx, cancel := context.WithTimeout(u.ctx, originTimeout)
 	defer cancel()
 	origin := b.origin()
 	if origin == nil {
 		b.mu.Lock()
-		f.feed.DrawFailed(piece)
+		u.feed.DrawFailed(piece)
 		b.mu.Unlock()
 		return
 	}
-	data, err := b.cfg.Origin.Piece(ctx, origin.Origin, f.model, f.version, piece)
+	data, err := b.cfg.Origin.Piece(ctx, origin.Origin, u.model, u.version, piece)
 	if err == nil {
-		err = b.take(f, piece, "", 0, data)
+		err = b.acceptPiece(u, piece, "", 0, data)
 	}
 	if err == nil {
-		piecesDrawn.Inc()
+		piecesFromOrigin.Inc()
 		return
 	}
-	if f.ctx.Err() == nil {
-		b.drawFailed(f, piece, err)
+	if u.ctx.Err() == nil {
+		b.downloadFailed(u, piece, err)
 	}
 }
 
-// drawFailed notes why a piece was not drawn: the feed draws it again, in its schedule when the origin was not reached.
-func (b *Box) drawFailed(f *filling, piece int, err error) {
+// downloadFailed records why a download failed; the feed schedules a retry, later if the origin is unreachable.
+func (b *Box) downloadFailed(u *update, piece int, err error) {
 	b.log.WithField("piece", piece).WithField("cause", err.Error()).Warn("fill: a piece was not drawn")
-	if unreached(err) {
+	if originUnreachable(err) {
 		b.mu.Lock()
-		f.feed.DrawUnreached(piece, clock.Now())
+		u.feed.DrawUnreached(piece, clock.Now())
 		b.mu.Unlock()
 		return
 	}
-	time.Sleep(followEvery)
+	time.Sleep(pollInterval)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f.feed.DrawFailed(piece)
-	if errors.As(err, new(*MisfitError)) {
-		b.misfit(f)
+	u.feed.DrawFailed(piece)
+	if errors.As(err, new(*MismatchError)) {
+		b.countCorruptPiece(u)
 	}
 	b.wake()
 }
 
-// unreached reports whether the origin could not be asked at all; a server that takes no piece says nothing of it.
-func unreached(err error) bool {
+// originUnreachable reports whether the origin could not be dialled; failing to stage a piece does not count.
+func originUnreachable(err error) bool {
 	var op *net.OpError
 	return !errors.As(err, new(*NotStagedError)) && errors.As(err, &op) && op.Op == opDial
 }
 
-// misfit counts a drawn piece that does not fit; after several in a row the manifest itself is in doubt. mu is held.
-func (b *Box) misfit(f *filling) {
-	if f.misfits++; f.misfits < badManifest {
+// countCorruptPiece counts a mismatching piece from the origin; after several in a row the manifest is discarded, since it
+// may be wrong itself. mu is held.
+func (b *Box) countCorruptPiece(u *update) {
+	if u.corruptPieces++; u.corruptPieces < maxCorruptPieces {
 		return
 	}
-	f.cancel()
-	if b.fill == f {
-		b.fill = nil
+	u.cancel()
+	if b.active == u {
+		b.active = nil
 	}
-	b.log.WithField("version", int64(f.version)).Warn("fill: the manifest is in doubt and drawn again")
+	b.log.WithField("version", int64(u.version)).Warn("fill: the manifest is in doubt and drawn again")
 }
 
-// take verifies a piece, keeps it and tells the boxes that wait for it; waited is how long it waited at its giver.
-func (b *Box) take(f *filling, piece int, from string, waited time.Duration, data []byte) error {
+// acceptPiece verifies and stores a piece and announces it to other boxes; waited is how long it was queued at its sender.
+func (b *Box) acceptPiece(u *update, piece int, from string, waited time.Duration, data []byte) error {
 	b.mu.Lock()
-	m := f.manifest
+	m := u.manifest
 	b.mu.Unlock()
-	if m == nil || !m.Fits(piece, data) {
-		piecesBad.Inc()
-		return &MisfitError{Piece: piece}
+	if m == nil || !m.Matches(piece, data) {
+		piecesCorrupt.Inc()
+		return &MismatchError{Piece: piece}
 	}
-	if news, err := b.keep(f, piece, data); err != nil || !news {
+	if isNew, err := b.storePiece(u, piece, data); err != nil || !isNew {
 		return err
 	}
 	b.mu.Lock()
-	if f.feed == nil {
+	if u.feed == nil {
 		b.mu.Unlock()
 		return nil
 	}
-	asked := f.feed.Got(piece, from, waited, clock.Now())
-	complete, drawer := f.feed.Complete(), f.feed.Drawer(piece)
-	f.misfits = 0
+	asked := u.feed.Got(piece, from, waited, clock.Now())
+	complete, downloader := u.feed.Complete(), u.feed.Drawer(piece)
+	u.corruptPieces = 0
 	b.mu.Unlock()
-	b.links.got(f, piece, asked, complete, drawer || from == "")
+	b.links.announcePiece(u, piece, asked, complete, downloader || from == "")
 	if complete {
 		b.log.WithFields(log.Fields{
-			"version": int64(f.version), "ms": clock.Since(f.began).Milliseconds(),
-			"site": piecesNear.Get(), "far": piecesFar.Get(), "drawn": piecesDrawn.Get(), "bad": piecesBad.Get(), "twice": piecesTwice.Get(),
+			"version": int64(u.version), "ms": clock.Since(u.startedAt).Milliseconds(),
+			"site": piecesFromSite.Get(), "far": piecesFromOtherSites.Get(), "drawn": piecesFromOrigin.Get(), "bad": piecesCorrupt.Get(), "twice": piecesDuplicate.Get(),
 		}).Info("fill: all pieces are held")
 	}
 	b.wake()
 	return nil
 }
 
-// keep stages a piece at the server, or holds it in memory while the server's place for pieces is taken; news is false
+// storePiece stages a piece at the server, or buffers it while a pending version occupies the staging area; isNew is false
 // when the piece is held already.
-func (b *Box) keep(f *filling, piece int, data []byte) (news bool, err error) {
+func (b *Box) storePiece(u *update, piece int, data []byte) (isNew bool, err error) {
 	b.mu.Lock()
-	current := b.fill == f && f.feed != nil
-	if current && f.feed.Holds(piece) {
-		piecesTwice.Inc()
+	current := b.active == u && u.feed != nil
+	if current && u.feed.Holds(piece) {
+		piecesDuplicate.Inc()
 		current = false
 	}
-	hold := b.pending != nil
-	if current && hold {
-		if f.memory == nil {
-			f.memory = make(map[int][]byte)
+	buffer := b.pending != nil
+	if current && buffer {
+		if u.buffered == nil {
+			u.buffered = make(map[int][]byte)
 		}
-		f.memory[piece] = data
+		u.buffered[piece] = data
 	}
 	b.mu.Unlock()
-	if !current || hold {
+	if !current || buffer {
 		return current, nil
 	}
-	ctx, cancel := context.WithTimeout(f.ctx, stageTime)
+	ctx, cancel := context.WithTimeout(u.ctx, stageTimeout)
 	defer cancel()
-	if err := b.cfg.Engine.Stage(ctx, f.model, piece, data); err != nil {
-		if f.ctx.Err() == nil {
+	if err := b.cfg.Engine.Stage(ctx, u.model, piece, data); err != nil {
+		if u.ctx.Err() == nil {
 			b.log.WithField("piece", piece).WithField("cause", err.Error()).Warn("fill: a piece was not staged")
 		}
 		return false, &NotStagedError{Piece: piece, Err: err}
@@ -142,13 +143,13 @@
 	return true, nil
 }
 
-// staged returns a piece from memory or from the server.
-func (b *Box) staged(ctx context.Context, f *filling, piece int) ([]byte, error) {
+// readPiece returns a piece from the buffer or from the server.
+func (b *Box) readPiece(ctx context.Context, u *update, piece int) ([]byte, error) {
 	b.mu.Lock()
-	data := f.memory[piece]
+	data := u.buffered[piece]
 	b.mu.Unlock()
 	if data != nil {
 		return data, nil
 	}
-	return b.cfg.Engine.Staged(ctx, f.model, piece)
+	return b.cfg.Engine.Staged(ctx, u.model, piece)
 }
--- a/fill/pushback_test.go
+++ b/fill/pushback_test.go
@@ -14,8 +14,8 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// TestReportsTellWhatTheServerAsksFor proves that entries hear from the box what its server says of itself, at once where they must act.
-func TestReportsTellWhatTheServerAsksFor(t *testing.T) {
+// TestReportsCarryPushback checks that reports carry the server's pushback, and that a change is reported at once.
+func TestReportsCarryPushback(t *testing.T) {
 	source := &fakeSource{servers: view.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.2:1"}}}}
 	v := view.New(source, view.Options{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -37,10 +37,10 @@
 			b.setState(State{Pushback: test.word}, nil)
 			report, ok := b.newReport()
 			if !ok || report.Leaving != test.word.Leaving || report.Limited != test.word.Limited || report.Limit != test.word.Limit {
-				t.Errorf("told %+v, %t", report, ok)
+				t.Errorf("reported %+v, %t", report, ok)
 			}
 			if got := urgent(report, link.Report{Server: report.Server}); got != test.urgent {
-				t.Errorf("told at once: %t, want %t", got, test.urgent)
+				t.Errorf("reported at once: %t, want %t", got, test.urgent)
 			}
 		})
 	}
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -11,43 +11,42 @@
 )
 
 const (
-	// reportEvery is how often the server is asked for its state while it has requests, and how often entries hear of changes at
-	// most: asked twice as often, they would hear nothing sooner. loadEvery is the same while it is about to load or loads, when
-	// what it runs changes, idleEvery while it has nothing to do.
-	reportEvery = 100 * time.Millisecond
-	loadEvery   = 50 * time.Millisecond
-	idleEvery   = 200 * time.Millisecond
-	// quietEvery is how often entries hear of a server at least.
-	quietEvery = 500 * time.Millisecond
-	// reportSlack is how much too early a look may come for entries to hear of it: timers are not exact.
-	reportSlack = 10 * time.Millisecond
-	// closesHorizon is how long before its turn to load entries hear of it, closesStep how exactly.
-	closesHorizon = 4 * time.Second
-	closesStep    = 50 * time.Millisecond
-	// readyStep is how exactly entries hear how soon a server runs what it should.
-	readyStep = 250 * time.Millisecond
+	// reportInterval is how often the state of a server with requests is read, and the minimum interval between reports of
+	// non-urgent changes. loadingInterval applies while the server drains or loads, idleInterval while it has no requests.
+	reportInterval  = 100 * time.Millisecond
+	loadingInterval = 50 * time.Millisecond
+	idleInterval    = 200 * time.Millisecond
+	// maxReportInterval is the longest interval between reports.
+	maxReportInterval = 500 * time.Millisecond
+	// timerSlack is how early a report may be, since timers are not exact.
+	timerSlack = 10 * time.Millisecond
+	// turnHorizon is how far ahead a load turn is reported, turnResolution to what precision.
+	turnHorizon    = 4 * time.Second
+	turnResolution = 50 * time.Millisecond
+	// readyResolution is the precision of the reported time until the server runs the target version.
+	readyResolution = 250 * time.Millisecond
 )
 
-// report asks the server for its state and tells entries of changes, until ctx ends.
-func (b *Box) report(ctx context.Context) error {
-	timer := time.NewTimer(reportEvery)
+// runReports reads the server's state and reports changes to entries, until ctx ends.
+func (b *Box) runReports(ctx context.Context) error {
+	timer := time.NewTimer(reportInterval)
 	defer timer.Stop()
 	var last link.Report
 	var sent time.Time
 	for {
-		stateCtx, cancel := context.WithTimeout(ctx, stateTime)
+		stateCtx, cancel := context.WithTimeout(ctx, stateTimeout)
 		state, err := b.cfg.Engine.State(stateCtx)
 		cancel()
 		b.setState(state, err)
 		report, ok := b.newReport()
 		age := clock.Since(sent)
-		if ok && (urgent(report, last) || report != last && age >= reportEvery-reportSlack || age >= quietEvery) {
-			b.links.tell(&report)
+		if ok && (urgent(report, last) || report != last && age >= reportInterval-timerSlack || age >= maxReportInterval) {
+			b.links.broadcastReport(&report)
 			last, sent = report, clock.Now()
 			b.links.chooseRelay()
-			b.links.tellEntries()
+			b.links.sendEntryHosts()
 		}
-		timer.Reset(b.nextLook())
+		timer.Reset(b.stateInterval())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -56,34 +55,34 @@
 	}
 }
 
-// nextLook returns how soon the server is asked for its state again.
-func (b *Box) nextLook() time.Duration {
+// stateInterval returns the time until the server's state is read again.
+func (b *Box) stateInterval() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.closing || b.state.Busy || b.fill != nil && b.fill.given:
-		return loadEvery
+	case b.draining || b.state.Busy || b.active != nil && b.active.accepted:
+		return loadingInterval
 	case b.state.Running+b.state.Waiting > 0 || b.stateAt.IsZero():
-		return reportEvery
+		return reportInterval
 	default:
-		return idleEvery
+		return idleInterval
 	}
 }
 
-// urgent reports whether entries should hear of a change at once.
+// urgent reports whether entries need a change at once.
 func urgent(report, last link.Report) bool {
 	return report.Closing != last.Closing || report.Filled != last.Filled || report.Leaving != last.Leaving || report.Limited != last.Limited ||
 		report.Version != last.Version || report.Server != last.Server || report.Born != last.Born
 }
 
-// setState takes what the server told; one that does not answer keeps its last state.
+// setState records the server's state; a server that does not answer keeps its last known state.
 func (b *Box) setState(state State, err error) {
 	if err != nil {
 		return
 	}
 	b.mu.Lock()
-	if b.state.anotherLife(state) {
-		b.forgetLife(state)
+	if b.state.isRestart(state) {
+		b.resetAfterRestart(state)
 	}
 	changed := b.state.Busy != state.Busy || len(b.state.Loaded) != len(state.Loaded)
 	for model, version := range state.Loaded {
@@ -106,60 +105,59 @@
 	}
 }
 
-// newReport returns what entries should hear now; ok is false while the server does not answer or is not listed.
+// newReport returns the current report; ok is false while the server does not answer or is not listed.
 func (b *Box) newReport() (report link.Report, ok bool) {
 	id := b.serverID()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if id == "" || clock.Since(b.stateAt) > stateTime {
+	if id == "" || clock.Since(b.stateAt) > stateTimeout {
 		return link.Report{}, false
 	}
 	report = link.Report{
 		Server: id, Born: b.state.Born, Running: b.state.Running, Waiting: b.state.Waiting, Used: b.state.Used, Slow: b.state.Slow,
-		Closing: b.closing || b.state.Busy,
+		Closing: b.draining || b.state.Busy,
 		Leaving: b.state.Pushback.Leaving, Limited: b.state.Pushback.Limited, Limit: b.state.Pushback.Limit,
 	}
 	report.Entries, report.Standing = b.links.entries()
-	if !b.closes.IsZero() {
-		report.Closes = closesIn(clock.Until(b.closes))
+	if !b.loadAt.IsZero() {
+		report.Closes = reportedTurn(clock.Until(b.loadAt))
 	}
 	if cfg := b.cfg.View.Config(); cfg != nil {
 		report.Revision = cfg.Revision
 	}
-	report.Ready = b.readyIn(clock.Now()).Round(readyStep)
-	report.Filled = b.pending != nil || b.fill != nil && b.fill.feed != nil && b.fill.feed.Complete()
+	report.Ready = b.timeToReady(clock.Now()).Round(readyResolution)
+	report.Filled = b.pending != nil || b.active != nil && b.active.feed != nil && b.active.feed.Complete()
 	for model, version := range b.state.Loaded {
 		report.Model, report.Version = model, int64(version)
 	}
 	return report, true
 }
 
-// closesIn returns what entries hear of a turn to load that comes in so long; 0 while it is far away. One that has passed is not
-// told as 0: entries would take its server for the one that stays open longest.
-func closesIn(left time.Duration) time.Duration {
-	if left >= closesHorizon {
+// reportedTurn returns the time until a load turn as reported; 0 while it is far off. A turn that has passed is not reported
+// as 0, since entries would take the server for the one that stays open longest.
+func reportedTurn(left time.Duration) time.Duration {
+	if left >= turnHorizon {
 		return 0
 	}
-	return max(left.Round(closesStep), closesStep)
+	return max(left.Round(turnResolution), turnResolution)
 }
 
-// readyIn returns how soon the server is likely to run the version that should run; 0 when it does or that is not known.
-// mu is held.
-func (b *Box) readyIn(now time.Time) time.Duration {
-	f := b.fill
-	if f == nil || f.feed == nil || b.state.Loaded[f.model] >= f.version {
+// timeToReady estimates the time until the server runs the target version; 0 when it does or that is unknown. mu is held.
+func (b *Box) timeToReady(now time.Time) time.Duration {
+	u := b.active
+	if u == nil || u.feed == nil || b.state.Loaded[u.model] >= u.version {
 		return 0
 	}
-	fills, known := f.feed.Left(now)
+	left, known := u.feed.Left(now)
 	if !known {
 		return 0
 	}
-	return max(fills, b.closes.Sub(now)) + loadTime
+	return max(left, b.loadAt.Sub(now)) + usualLoadTime
 }
 
-// sendReport tells entries at once what they should hear now.
+// sendReport sends entries a report now.
 func (b *Box) sendReport() {
 	if report, ok := b.newReport(); ok {
-		b.links.tell(&report)
+		b.links.broadcastReport(&report)
 	}
 }
--- a/fill/restart.go
+++ b/fill/restart.go
@@ -9,51 +9,50 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// anotherLife reports whether a state is of another life of the server than the one before: its birth differs, or its count of
-// orders went back.
-func (s State) anotherLife(next State) bool {
+// isRestart reports whether the server restarted between two states: its start time differs, or its count of orders went
+// back.
+func (s State) isRestart(next State) bool {
 	return contract.IsAnotherLife(s.Born, next.Born) || next.Seq < s.Seq
 }
 
-// forgetLife drops what was believed of the server's life that has ended: the order that it took, when its turn came, and that its
-// pieces were whole. Without that a server that started again between its order and its load would never get another. mu is
-// held.
-func (b *Box) forgetLife(next State) {
-	for _, f := range []*filling{b.fill, b.pending} {
-		if f != nil {
-			f.given, f.ordered, f.checked = false, time.Time{}, time.Time{}
+// resetAfterRestart drops what was known of the server before its restart: the order it accepted, its turn, and that its
+// pieces were verified. Otherwise a server that restarted between order and load would never get another. mu is held.
+func (b *Box) resetAfterRestart(next State) {
+	for _, u := range []*update{b.active, b.pending} {
+		if u != nil {
+			u.accepted, u.orderedAt, u.verifiedAt = false, time.Time{}, time.Time{}
 		}
 	}
-	b.reopen()
-	b.relist = true
+	b.clearTurn()
+	b.needsRelist = true
 	b.log.WithFields(log.Fields{"born": next.Born, "seq": next.Seq}).Warn("fill: the server has started again")
 }
 
-// listAgain has the pieces fetched again that a server no longer holds after it started again: they outlast a crash, not a loss of
-// power.
-func (b *Box) listAgain(ctx context.Context, f *filling) {
+// relistPieces has the pieces that a restarted server no longer holds fetched again: they survive a crash, but not a power
+// loss.
+func (b *Box) relistPieces(ctx context.Context, u *update) {
 	b.mu.Lock()
-	due := b.relist && f.feed != nil
+	due := b.needsRelist && u.feed != nil
 	b.mu.Unlock()
 	if !due {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, stateTime)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	held, err := b.cfg.Engine.Held(ctx, f.model)
+	held, err := b.cfg.Engine.Held(ctx, u.model)
 	if err != nil {
 		return
 	}
-	lies := make(map[int]bool, len(held))
+	staged := make(map[int]bool, len(held))
 	for _, piece := range held {
-		lies[piece] = true
+		staged[piece] = true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.relist = false
-	for _, piece := range f.feed.Held() {
-		if !lies[int(piece)] && f.memory[int(piece)] == nil {
-			f.feed.Lost(int(piece))
+	b.needsRelist = false
+	for _, piece := range u.feed.Held() {
+		if !staged[int(piece)] && u.buffered[int(piece)] == nil {
+			u.feed.Lost(int(piece))
 		}
 	}
 }
--- a/fill/restart_test.go
+++ b/fill/restart_test.go
@@ -13,63 +13,61 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// What was read: a server that had taken its order to load and started again before it had loaded was never given another. Its
-// box held on to the order of the life that had ended.
-
-// restart has the server begin a new life that runs nothing; wiped, it holds no pieces either.
-func (e *fakeEngine) restart(born int64, wiped bool) {
+// restart makes the server start again with nothing loaded; if wiped, it holds no pieces either.
+func (e *fakeEngine) restart(startedAt int64, wiped bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.born, e.loaded, e.seq, e.lag = born, 0, 0, false
+	e.startedAt, e.loaded, e.seq, e.neverLoad = startedAt, 0, 0, false
 	if wiped {
 		e.pieces = nil
 	}
 }
 
-// TestServerThatStartsAgainIsLoadedAgain proves that the box brings each new life of its server to the version that should run.
+// TestServerThatStartsAgainIsLoadedAgain checks that every incarnation of a server gets its load order: the box must not
+// wait for an order that an earlier incarnation accepted.
 func TestServerThatStartsAgainIsLoadedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
-		// lag has the server take its order and not load; births are those of its lives after the first.
-		lag    bool
-		wiped  bool
-		births []int64
+		// neverLoad makes the first incarnation accept its order without loading; starts are the start times of the later ones.
+		neverLoad bool
+		wiped     bool
+		starts    []int64
 	}{
-		"while it runs":                         {births: []int64{2000}},
-		"while it runs, and holds nothing":      {wiped: true, births: []int64{2000}},
-		"between its order and its load":        {lag: true, births: []int64{2000}},
-		"between them, and holds nothing":       {lag: true, wiped: true, births: []int64{2000}},
-		"twice in a row":                        {lag: true, births: []int64{2000, 3000}},
-		"with a clock that stepped back":        {lag: true, births: []int64{500}},
-		"without a birth, by its count alone":   {lag: true, births: []int64{0}},
-		"while it runs, and tells no birth":     {births: []int64{0}},
-		"three times, each holding nothing":     {wiped: true, births: []int64{2000, 3000, 4000}},
-		"with a birth where there was none yet": {births: []int64{-1, 2000}},
+		"while it runs":                         {starts: []int64{2000}},
+		"while it runs, without pieces":         {wiped: true, starts: []int64{2000}},
+		"between its order and its load":        {neverLoad: true, starts: []int64{2000}},
+		"between them, without pieces":          {neverLoad: true, wiped: true, starts: []int64{2000}},
+		"twice in a row":                        {neverLoad: true, starts: []int64{2000, 3000}},
+		"with a clock that stepped back":        {neverLoad: true, starts: []int64{500}},
+		"without a start time, by its count":    {neverLoad: true, starts: []int64{0}},
+		"while it runs, without a start time":   {starts: []int64{0}},
+		"three times, each time without pieces": {wiped: true, starts: []int64{2000, 3000, 4000}},
+		"with its first start time":             {starts: []int64{-1, 2000}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 1, 4*time.Second)
 			e := s.engines[0]
-			e.born, e.lag = 1000, test.lag
+			e.startedAt, e.neverLoad = 1000, test.neverLoad
 			s.start(0, 1)
-			for deadline := time.Now().Add(fillLimit); e.taken() == 0 && time.Now().Before(deadline); {
+			for deadline := time.Now().Add(loadTimeLimit); e.orderCount() == 0 && time.Now().Before(deadline); {
 				time.Sleep(5 * time.Millisecond)
 			}
-			for _, born := range test.births {
+			for _, start := range test.starts {
 				time.Sleep(300 * time.Millisecond)
-				e.restart(max(born, 0), test.wiped)
-				s.wait(1, fillLimit)
+				e.restart(max(start, 0), test.wiped)
+				s.waitLoaded(1, loadTimeLimit)
 			}
 		})
 	}
 }
 
-// TestReportTellsTheLife proves that entries hear at once of which life a box speaks.
+// TestReportTellsTheLife checks that a new incarnation is reported at once.
 func TestReportTellsTheLife(t *testing.T) {
 	older := link.Report{Server: "a", Born: 1, Running: 3}
 	newer := older
 	newer.Born = 2
 	if !urgent(newer, older) {
-		t.Error("a new life is not told at once")
+		t.Error("a new incarnation is not reported at once")
 	}
 	source := &fakeSource{servers: view.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.1:1"}}}}
 	v := view.New(source, view.Options{})
--- a/fill/siblings_test.go
+++ b/fill/siblings_test.go
@@ -8,7 +8,7 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// TestBoxesOfLeavingServersTakeNoPart proves that no piece is left to the box of a server that leaves.
+// TestBoxesOfLeavingServersTakeNoPart checks that no piece is assigned to the box of a leaving server.
 func TestBoxesOfLeavingServersTakeNoPart(t *testing.T) {
 	s := newSite(t, 4, time.Second)
 	s.servers.Present[1].Leaving = true
@@ -25,6 +25,6 @@
 		ids = append(ids, member.ID)
 	}
 	if len(ids) != 2 || ids[0] != s.host(0) || ids[1] != s.host(3) {
-		t.Errorf("%v take part, want this box and %s", ids, s.host(3))
+		t.Errorf("siblings are %v, want this box and %s", ids, s.host(3))
 	}
 }
--- a/fill/silence_test.go
+++ b/fill/silence_test.go
@@ -10,26 +10,25 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// TestNewLinkTakesThePlaceOfTheOld proves that an entry that opens a link anew is heard and told on that one, though the one
-// before was never seen to end.
+// TestNewLinkTakesThePlaceOfTheOld checks that an entry's new link is used although its old one was never seen to end.
 func TestNewLinkTakesThePlaceOfTheOld(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 4*time.Second)
-	s.told = true
-	s.engines[0].runFrom(1)
+	s.relayed = true
+	s.engines[0].loadVersion(1)
 	s.start(0, 1)
-	_, follows := linkAs(t, s, 0, "entry")
+	_, follows := linkAsEntry(t, s, 0, "entry")
 	wantFollow(t, follows, "s", time.Second)
-	_, follows = linkAs(t, s, 0, "entry")
+	_, follows = linkAsEntry(t, s, 0, "entry")
 	wantFollow(t, follows, "s", time.Second)
 }
 
-// silentBox holds all pieces and takes links, but gives nothing that is asked of it on the first of them.
-type silentBox struct {
+// silentPeer is a box that holds all pieces but sends none of them on its first link.
+type silentPeer struct {
 	links atomic.Int32
 }
 
-func (b *silentBox) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *silentPeer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := link.Accept(w, r, nil)
 	if err != nil {
 		return
@@ -52,29 +51,28 @@
 			}
 		case *link.Want:
 			if !first {
-				_ = conn.Send(r.Context(), &link.Chunk{Manifest: msg.Manifest, Chunk: msg.Chunk, Body: pieceOf(1, int(msg.Chunk))})
+				_ = conn.Send(r.Context(), &link.Chunk{Manifest: msg.Manifest, Chunk: msg.Chunk, Body: pieceData(1, int(msg.Chunk))})
 			}
 		}
 	}
 }
 
-// TestSilentLinkIsOpenedAnew proves that a link on which nothing comes any more does not keep a box from pieces that a new
-// link brings.
+// TestSilentLinkIsOpenedAnew checks that a silent link is redialled, so that it does not block pieces.
 func TestSilentLinkIsOpenedAnew(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 4*time.Second)
-	s.origin.away = true
+	s.origin.unreachable = true
 	listener, err := net.Listen("tcp", s.linkAt(1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := &silentBox{}
+	box := &silentPeer{}
 	server := &http.Server{Handler: box}
 	t.Cleanup(func() { _ = server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	s.start(0, 1)
 	for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if s.engines[0].runs() == 1 {
+		if s.engines[0].loadedVersion() == 1 {
 			return
 		}
 	}
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -17,7 +17,7 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// site is boxes on loopback addresses of their own.
+// site is a set of boxes, each on its own loopback address.
 type site struct {
 	t       *testing.T
 	port    int
@@ -27,8 +27,8 @@
 	config  *contract.Config
 	servers view.Servers
 	bound   time.Duration
-	// told has boxes follow entries.
-	told bool
+	// relayed makes boxes take the store's content from entries.
+	relayed bool
 }
 
 func newSite(t *testing.T, boxes int, bound time.Duration) *site {
@@ -38,12 +38,12 @@
 		t.Fatal(err)
 	}
 	s := &site{t: t, origin: &fakeOrigin{newest: 1}, port: probe.Addr().(*net.TCPAddr).Port, bound: bound}
-	// Held until the test ends: the port is free on 127.0.0.1 while another site listens at it on its own addresses, and would be
-	// given out a second time (6 of 200 runs of 25 sites, none of 200 with it held).
+	// Held until the test ends: the port is free on 127.0.0.1 while another site listens at it on its own addresses, and could
+	// otherwise be assigned twice.
 	t.Cleanup(func() { _ = probe.Close() })
 	s.config = contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{
 		{Name: "s", Engine: &contract.Engine{Models: []contract.Model{{Name: testModel}}}},
-		{Name: "o", Origin: originAt, LinkRate: 1e9},
+		{Name: "o", Origin: originAddress, LinkRate: 1e9},
 	}, nil)
 	for i := range boxes {
 		s.servers.Present = append(s.servers.Present, contract.Server{
@@ -57,18 +57,18 @@
 
 func (s *site) host(i int) string { return fmt.Sprintf("127.0.7.%d", i+1) }
 
-// newSiteOfTwoVersions returns three boxes that run version 1, hold version 2 and have just heard of version 3.
+// newSiteOfTwoVersions returns three boxes that run version 1, hold version 2 and have just learned of version 3.
 func newSiteOfTwoVersions(t *testing.T) *site {
 	t.Helper()
 	s := newSite(t, 3, 8*time.Second)
 	s.startRunning()
-	s.name(2)
+	s.nameVersion(2)
 	time.Sleep(2400 * time.Millisecond)
-	s.name(3)
+	s.nameVersion(3)
 	return s
 }
 
-// start runs one box until the returned function or the test ends it.
+// start runs one box until the returned function is called or the test ends.
 func (s *site) start(i int, target contract.Version) context.CancelFunc {
 	s.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -90,7 +90,7 @@
 		s.t.Fatal(err)
 	}
 	cfg := Config{Machine: m, View: v, Engine: s.engines[i], Origin: s.origin, Log: logger, Listener: listener}
-	if s.told {
+	if s.relayed {
 		cfg.Told = told.New(source)
 	}
 	b := New(cfg)
@@ -102,7 +102,7 @@
 	return cancel
 }
 
-// linkAt returns the address at which a box takes links.
+// linkAt returns the address at which a box accepts links.
 func (s *site) linkAt(i int) string { return net.JoinHostPort(s.host(i), strconv.Itoa(s.port)) }
 
 func (s *site) startAll(target contract.Version) {
@@ -111,33 +111,33 @@
 	}
 }
 
-func (s *site) name(version contract.Version) {
+func (s *site) nameVersion(version contract.Version) {
 	for _, source := range s.sources {
 		source.named <- contract.Target{Model: testModel, Version: version}
 	}
 }
 
-// wait waits until all servers run a version.
-func (s *site) wait(version contract.Version, limit time.Duration) {
+// waitLoaded waits until all servers run a version.
+func (s *site) waitLoaded(version contract.Version, limit time.Duration) {
 	s.t.Helper()
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		done := true
 		for _, engine := range s.engines {
-			done = done && engine.runs() == version
+			done = done && engine.loadedVersion() == version
 		}
 		if done {
 			return
 		}
 	}
 	for i, engine := range s.engines {
-		s.t.Errorf("server %d runs version %d, want %d", i, engine.runs(), version)
+		s.t.Errorf("server %d runs version %d, want %d", i, engine.loadedVersion(), version)
 	}
 }
 
-// startRunning runs all boxes, whose servers run version 1 already, and lets them settle.
+// startRunning starts all boxes on servers that run version 1, and waits until they are idle.
 func (s *site) startRunning() {
 	for _, engine := range s.engines {
-		engine.runFrom(1)
+		engine.loadVersion(1)
 	}
 	s.startAll(1)
 	time.Sleep(300 * time.Millisecond)
--- a/fill/teller.go
+++ b/fill/teller.go
@@ -9,26 +9,26 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// awayRest is how long an entry that had lost the store is not chosen to tell what it holds.
-const awayRest = 3 * time.Second
+// storeLostBackoff is how long an entry that lost the store is not chosen as the relay.
+const storeLostBackoff = 3 * time.Second
 
-// chooseRelay has one of the linked entries tell what the store holds: one of the own site first, each box by an order of
-// its own, so that entries share the work.
+// chooseRelay picks the entry that passes on what the store holds. Entries of this site come first; each box has its own
+// order of entries, to spread the work.
 func (ls *links) chooseRelay() {
 	if ls.box.cfg.Told == nil {
 		return
 	}
 	ls.mu.Lock()
-	old := ls.teller
-	if old != nil && !ls.mayTell(old) {
-		ls.teller = nil
+	old := ls.relay
+	if old != nil && !ls.canRelay(old) {
+		ls.relay = nil
 	}
 	for l := range ls.in {
-		if ls.mayTell(l) && (ls.teller == nil || ls.tellsBefore(l, ls.teller)) {
-			ls.teller = l
+		if ls.canRelay(l) && (ls.relay == nil || ls.relaysBefore(l, ls.relay)) {
+			ls.relay = l
 		}
 	}
-	chosen := ls.teller
+	chosen := ls.relay
 	ls.mu.Unlock()
 	if chosen == old {
 		return
@@ -42,38 +42,37 @@
 	}
 }
 
-// mayTell reports whether a link is to an entry that has not lost the store; mu is held.
-func (ls *links) mayTell(l *inLink) bool {
-	return ls.in[l] && l.entry && clock.Since(l.awayAt) > awayRest
+// canRelay reports whether a link is to an entry that has not lost the store recently; mu is held.
+func (ls *links) canRelay(l *inboundLink) bool {
+	return ls.in[l] && l.entry && clock.Since(l.storeLostAt) > storeLostBackoff
 }
 
-// tellsBefore orders entries that may tell.
-func (ls *links) tellsBefore(a, b *inLink) bool {
+// relaysBefore reports whether entry a is preferred to b as the relay.
+func (ls *links) relaysBefore(a, b *inboundLink) bool {
 	own := ls.box.cfg.Machine.Site
 	if near := a.site == own; near != (b.site == own) {
 		return near
 	}
-	return ls.tellerScore(a) < ls.tellerScore(b)
+	return ls.relayScore(a) < ls.relayScore(b)
 }
 
-func (ls *links) tellerScore(l *inLink) uint64 {
+func (ls *links) relayScore(l *inboundLink) uint64 {
 	return xxhash.Sum64String(ls.box.cfg.Machine.Address + "/" + l.id)
 }
 
-// isTeller reports whether a link is to the entry that tells what the store holds.
-func (ls *links) isTeller(l *inLink) bool {
+func (ls *links) isRelay(l *inboundLink) bool {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	return ls.teller == l
+	return ls.relay == l
 }
 
-// handleDeclared takes what an entry tells of the configuration.
-func (l *inLink) handleDeclared(m *link.Declared) {
+// handleDeclared passes on configuration from the relay, and chooses another relay if this one lost the store.
+func (l *inboundLink) handleDeclared(m *link.Declared) {
 	switch {
-	case !l.links.isTeller(l):
+	case !l.links.isRelay(l):
 	case m.Away:
 		l.links.mu.Lock()
-		l.awayAt = clock.Now()
+		l.storeLostAt = clock.Now()
 		l.links.mu.Unlock()
 		l.links.chooseRelay()
 	default:
@@ -81,9 +80,9 @@
 	}
 }
 
-// handleServers takes what an entry tells of the list of servers.
-func (l *inLink) handleServers(m *link.Servers) {
-	if l.links.isTeller(l) {
+// handleServers passes on the list of servers from the relay.
+func (l *inboundLink) handleServers(m *link.Servers) {
+	if l.links.isRelay(l) {
 		l.links.box.cfg.Told.TakeServers(m)
 	}
 }
--- a/fill/teller_test.go
+++ b/fill/teller_test.go
@@ -8,8 +8,8 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// linkAs opens a link to a box as an entry does, and returns the services that the box asks it to tell of.
-func linkAs(t *testing.T, s *site, box int, id string) (conn *link.Conn, follows <-chan string) {
+// linkAsEntry links to a box as an entry does, and returns the services that the box follows on this link.
+func linkAsEntry(t *testing.T, s *site, box int, id string) (conn *link.Conn, follows <-chan string) {
 	t.Helper()
 	conn, err := link.Dial(t.Context(), &http.Client{}, s.linkAt(box), nil)
 	if err != nil {
@@ -39,26 +39,25 @@
 	select {
 	case got := <-follows:
 		if got != service {
-			t.Fatalf("the box follows for %q, want %q", got, service)
+			t.Fatalf("the box follows %q, want %q", got, service)
 		}
 	case <-time.After(limit):
-		t.Fatalf("no ask to be told of %q within %s", service, limit)
+		t.Fatalf("no request to follow %q within %s", service, limit)
 	}
 }
 
-// TestEntryThatLostTheStoreIsFollowedAgain proves that a box goes back to an entry whose store is back, though no link came or
-// went meanwhile.
-func TestEntryThatLostTheStoreIsFollowedAgain(t *testing.T) {
+// TestEntryIsUsedAgainAfterItsStoreRecovers checks that a box returns to an entry whose store is back although no link changed.
+func TestEntryIsUsedAgainAfterItsStoreRecovers(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 4*time.Second)
-	s.told = true
-	s.engines[0].runFrom(1)
+	s.relayed = true
+	s.engines[0].loadVersion(1)
 	s.start(0, 1)
-	conn, follows := linkAs(t, s, 0, "entry")
+	conn, follows := linkAsEntry(t, s, 0, "entry")
 	wantFollow(t, follows, "s", time.Second)
 	if err := conn.Send(t.Context(), &link.Declared{Away: true}); err != nil {
 		t.Fatal(err)
 	}
 	wantFollow(t, follows, "", time.Second)
-	wantFollow(t, follows, "s", awayRest+2*time.Second)
+	wantFollow(t, follows, "s", storeLostBackoff+2*time.Second)
 }
--- a/fill/unreached_test.go
+++ b/fill/unreached_test.go
@@ -13,14 +13,14 @@
 		err  error
 		want bool
 	}{
-		"the origin cannot be dialled":                {dial, true},
-		"the origin breaks off":                       {&net.OpError{Op: "read", Err: errors.New("reset")}, false},
-		"the origin says nothing in time":             {context.DeadlineExceeded, false},
-		"the server on this machine is not there":     {&NotStagedError{Piece: 3, Err: dial}, false},
-		"a piece that does not fit is no lost origin": {&MisfitError{Piece: 3}, false},
+		"origin cannot be dialled":        {dial, true},
+		"origin resets the connection":    {&net.OpError{Op: "read", Err: errors.New("reset")}, false},
+		"origin times out":                {context.DeadlineExceeded, false},
+		"local server is unreachable":     {&NotStagedError{Piece: 3, Err: dial}, false},
+		"piece does not match its digest": {&MismatchError{Piece: 3}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := unreached(test.err); got != test.want {
+			if got := originUnreachable(test.err); got != test.want {
 				t.Errorf("unreached %t, want %t", got, test.want)
 			}
 		})
--- a/fill/uploader.go
+++ b/fill/uploader.go
@@ -11,80 +11,80 @@
 )
 
 const (
-	// givesAtOnce is how many pieces are on their way out at a time: one after the other, the first is there sooner; one
-	// peer that does not read must not hold up all.
-	givesAtOnce = 2
-	// giveTime is how long a piece may take to leave before the next one goes out beside it.
-	giveTime = time.Second
+	// maxUploads is how many pieces are uploaded at a time: few, so that the first arrives sooner, but more than one, so that a
+	// peer that does not read does not block all others.
+	maxUploads = 2
+	// uploadWait bounds the wait for one upload before the next one starts beside it.
+	uploadWait = time.Second
 )
 
-// ask is a piece that another box asked for; far says that the box is in another site.
-type ask struct {
-	link  *inLink
-	key   uint64
-	piece int
-	far   bool
-	// turn is the place of the box's server among those of its service when they load.
-	turn  uint64
-	since time.Time
-	// given is how long pieces had been on their way to the box when it asked.
-	given time.Duration
-}
-
-// giving is for how long pieces have been on their way to one box; guarded by the uploader's mutex.
-type giving struct {
-	pieces int
-	since  time.Time
-	sum    time.Duration
-}
-
-func (g *giving) begin(now time.Time) {
-	if g.pieces++; g.pieces == 1 {
-		g.since = now
+// pieceRequest is a piece that another box requested.
+type pieceRequest struct {
+	link      *inboundLink
+	key       uint64
+	piece     int
+	otherSite bool
+	// loadPlace sorts boxes by when their servers load; queuedAt is when the request was queued.
+	loadPlace uint64
+	queuedAt  time.Time
+	// uploadedBefore is the total time of uploads to the box when it sent the request.
+	uploadedBefore time.Duration
+}
+
+// uploadClock sums the time during which uploads to one box are active; guarded by the uploader's mutex.
+type uploadClock struct {
+	active      int
+	activeSince time.Time
+	elapsed     time.Duration
+}
+
+func (c *uploadClock) start(now time.Time) {
+	if c.active++; c.active == 1 {
+		c.activeSince = now
 	}
 }
 
-func (g *giving) end(now time.Time) {
-	if g.pieces--; g.pieces == 0 {
-		g.sum += now.Sub(g.since)
+func (c *uploadClock) stop(now time.Time) {
+	if c.active--; c.active == 0 {
+		c.elapsed += now.Sub(c.activeSince)
 	}
 }
 
-func (g *giving) total(now time.Time) time.Duration {
-	if g.pieces > 0 {
-		return g.sum + now.Sub(g.since)
+func (c *uploadClock) total(now time.Time) time.Duration {
+	if c.active > 0 {
+		return c.elapsed + now.Sub(c.activeSince)
 	}
-	return g.sum
+	return c.elapsed
 }
 
-// before reports whether an ask goes before another that came earlier.
-func (a ask) before(b ask) bool {
-	if a.far != b.far {
-		return a.far
+// before reports whether a request is served before one that was queued earlier.
+func (r pieceRequest) before(other pieceRequest) bool {
+	if r.otherSite != other.otherSite {
+		return r.otherSite
 	}
-	return a.turn < b.turn
+	return r.loadPlace < other.loadPlace
 }
 
-// uploader hands out pieces: those to other sites first, since a whole site waits for them, then those to boxes whose servers
-// load first: if all were filled at the same time, many would load at once.
+// uploader uploads requested pieces: those for other sites first, since a whole site waits for them, then those for boxes
+// whose servers load earlier, so that not all servers are ready to load at once.
 type uploader struct {
-	box   *Box
-	woken chan struct{}
+	box    *Box
+	wakeup chan struct{}
 
-	mu    sync.Mutex
-	queue []ask
-	busy  int
+	mu      sync.Mutex
+	queue   []pieceRequest
+	sending int
 }
 
 func newUploader(b *Box) *uploader {
-	return &uploader{box: b, woken: make(chan struct{}, givesAtOnce)}
+	return &uploader{box: b, wakeup: make(chan struct{}, maxUploads)}
 }
 
-// serve hands out pieces until ctx ends.
-func (g *uploader) serve(ctx context.Context) error {
-	for range givesAtOnce {
+// serve uploads pieces until ctx ends.
+func (up *uploader) serve(ctx context.Context) error {
+	for range maxUploads {
 		go func() {
-			for g.giveNext(ctx) {
+			for up.uploadNext(ctx) {
 				continue
 			}
 		}()
@@ -93,134 +93,134 @@
 	return ctx.Err()
 }
 
-// add queues a piece unless it waits already.
-func (g *uploader) add(next ask) {
-	g.mu.Lock()
-	known := slices.ContainsFunc(g.queue, func(queued ask) bool { return queued.link == next.link && queued.piece == next.piece })
+// add queues a request unless the same one is queued already.
+func (up *uploader) add(next pieceRequest) {
+	up.mu.Lock()
+	known := slices.ContainsFunc(up.queue, func(queued pieceRequest) bool { return queued.link == next.link && queued.piece == next.piece })
 	if !known {
-		next.since = clock.Now()
-		next.given = next.link.giving.total(next.since)
-		g.queue = append(g.queue, next)
+		next.queuedAt = clock.Now()
+		next.uploadedBefore = next.link.uploads.total(next.queuedAt)
+		up.queue = append(up.queue, next)
 	}
-	g.mu.Unlock()
-	g.wake()
+	up.mu.Unlock()
+	up.wake()
 }
 
-func (g *uploader) wake() {
+func (up *uploader) wake() {
 	select {
-	case g.woken <- struct{}{}:
+	case up.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// drop takes out what a box no longer wants: the pieces named, and all of other versions.
-func (g *uploader) drop(l *inLink, key uint64, pieces []uint32) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.queue = slices.DeleteFunc(g.queue, func(queued ask) bool {
+// cancel removes a box's requests for some pieces, and all its requests for other versions.
+func (up *uploader) cancel(l *inboundLink, key uint64, pieces []uint32) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.queue = slices.DeleteFunc(up.queue, func(queued pieceRequest) bool {
 		return queued.link == l && (queued.key != key || slices.Contains(pieces, uint32(queued.piece)))
 	})
 }
 
-// leave takes out all that a link asked for.
-func (g *uploader) leave(l *inLink) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.queue = slices.DeleteFunc(g.queue, func(queued ask) bool { return queued.link == l })
+// removeLink removes all requests of a link.
+func (up *uploader) removeLink(l *inboundLink) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	up.queue = slices.DeleteFunc(up.queue, func(queued pieceRequest) bool { return queued.link == l })
 }
 
-// waiting returns how many pieces wait or are on their way out.
-func (g *uploader) waiting() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.queue) + g.busy
+// waiting returns the number of requests that are queued or being sent.
+func (up *uploader) waiting() int {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	return len(up.queue) + up.sending
 }
 
-// take returns the next piece to give.
-func (g *uploader) take() (next ask, ok bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.queue) == 0 {
-		return ask{}, false
+// dequeue returns the next request to serve.
+func (up *uploader) dequeue() (next pieceRequest, ok bool) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	if len(up.queue) == 0 {
+		return pieceRequest{}, false
 	}
 	i := 0
-	for k, queued := range g.queue {
-		if queued.before(g.queue[i]) {
+	for k, queued := range up.queue {
+		if queued.before(up.queue[i]) {
 			i = k
 		}
 	}
-	next = g.queue[i]
-	g.queue = slices.Delete(g.queue, i, i+1)
-	g.busy++
+	next = up.queue[i]
+	up.queue = slices.Delete(up.queue, i, i+1)
+	up.sending++
 	return next, true
 }
 
-// begin notes that a piece leaves, and returns how long it waited for pieces to others: while others of its own were on their
-// way, what held it up is the box's link.
-func (g *uploader) begin(next ask) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// startUpload starts an upload, and returns how long the request waited because of other boxes: time in which pieces were
+// being sent to the same box is subtracted, since that delay is the box's own link.
+func (up *uploader) startUpload(next pieceRequest) time.Duration {
+	up.mu.Lock()
+	defer up.mu.Unlock()
 	now := clock.Now()
-	waited := now.Sub(next.since) - (next.link.giving.total(now) - next.given)
-	next.link.giving.begin(now)
+	waited := now.Sub(next.queuedAt) - (next.link.uploads.total(now) - next.uploadedBefore)
+	next.link.uploads.start(now)
 	return max(waited, 0)
 }
 
-// end notes that a piece has left, or will not.
-func (g *uploader) end(next ask) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	next.link.giving.end(clock.Now())
+// endUpload ends an upload, whether it succeeded or not.
+func (up *uploader) endUpload(next pieceRequest) {
+	up.mu.Lock()
+	defer up.mu.Unlock()
+	next.link.uploads.stop(clock.Now())
 }
 
-// giveNext gives the next piece, or waits for one; false once ctx has ended.
-func (g *uploader) giveNext(ctx context.Context) bool {
-	next, ok := g.take()
+// uploadNext serves the next request, or waits for one; false once ctx has ended.
+func (up *uploader) uploadNext(ctx context.Context) bool {
+	next, ok := up.dequeue()
 	if !ok {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-g.woken:
+		case <-up.wakeup:
 			return true
 		}
 	}
 	defer func() {
-		g.mu.Lock()
-		g.busy--
-		g.mu.Unlock()
-		g.wake()
+		up.mu.Lock()
+		up.sending--
+		up.mu.Unlock()
+		up.wake()
 	}()
-	data := g.read(ctx, next)
+	data := up.readPiece(ctx, next)
 	if data == nil {
 		next.link.send(&link.Decline{Manifest: next.key, Chunk: uint32(next.piece)})
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, giveTime)
+	ctx, cancel := context.WithTimeout(ctx, uploadWait)
 	defer cancel()
-	waited := g.begin(next)
-	defer g.end(next)
+	waited := up.startUpload(next)
+	defer up.endUpload(next)
 	chunk := &link.Chunk{Manifest: next.key, Chunk: uint32(next.piece), Body: data, Waited: waited}
 	if next.link.conn.Deliver(ctx, chunk) == nil {
-		bytesGiven.Add(len(data))
+		pieceBytesUploaded.Add(len(data))
 	}
 	return true
 }
 
-// read reads a piece back; nil when it is not held or turned bad, and then it is fetched again.
-func (g *uploader) read(ctx context.Context, next ask) []byte {
-	b := g.box
-	f := b.filling(next.key)
-	if f == nil {
+// readPiece returns a verified piece; if it is missing or corrupt it returns nil, and the piece is fetched again.
+func (up *uploader) readPiece(ctx context.Context, next pieceRequest) []byte {
+	b := up.box
+	u := b.updateByKey(next.key)
+	if u == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, stageTime)
+	ctx, cancel := context.WithTimeout(ctx, stageTimeout)
 	defer cancel()
-	data, err := b.staged(ctx, f, next.piece)
-	if err == nil && f.manifest.Fits(next.piece, data) {
+	data, err := b.readPiece(ctx, u, next.piece)
+	if err == nil && u.manifest.Matches(next.piece, data) {
 		return data
 	}
 	b.mu.Lock()
-	f.feed.Lost(next.piece)
+	u.feed.Lost(next.piece)
 	b.mu.Unlock()
 	b.wake()
 	return nil
--- a/fill/uploader_test.go
+++ b/fill/uploader_test.go
@@ -9,39 +9,39 @@
 func TestWaitedCountsOthersOnly(t *testing.T) {
 	const other, own = 300 * time.Millisecond, 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		g := &uploader{woken: make(chan struct{}, 1)}
-		slow, quick := &inLink{}, &inLink{}
-		g.add(ask{link: quick, piece: 1})
-		g.add(ask{link: slow, piece: 2})
-		g.add(ask{link: slow, piece: 3})
+		g := &uploader{wakeup: make(chan struct{}, 1)}
+		slow, quick := &inboundLink{}, &inboundLink{}
+		g.add(pieceRequest{link: quick, piece: 1})
+		g.add(pieceRequest{link: slow, piece: 2})
+		g.add(pieceRequest{link: slow, piece: 3})
 		for i, want := range []time.Duration{0, other, other} {
-			next, ok := g.take()
+			next, ok := g.dequeue()
 			if !ok {
-				t.Fatal("nothing waits")
+				t.Fatal("no request is queued")
 			}
-			if waited := g.begin(next); waited != want {
-				t.Errorf("piece %d waited %s for others, want %s", next.piece, waited, want)
+			if waited := g.startUpload(next); waited != want {
+				t.Errorf("piece %d waited %s for other boxes, want %s", next.piece, waited, want)
 			}
 			time.Sleep([]time.Duration{other, own, own}[i])
-			g.end(next)
+			g.endUpload(next)
 		}
 	})
 }
 
-func TestGiverServesThoseThatLoadFirst(t *testing.T) {
-	near := func(turn uint64) ask { return ask{piece: int(turn), turn: turn} }
+func TestUploaderServesEarliestLoadFirst(t *testing.T) {
+	near := func(turn uint64) pieceRequest { return pieceRequest{piece: int(turn), loadPlace: turn} }
 	for name, test := range map[string]struct {
-		queue []ask
+		queue []pieceRequest
 		want  int
 	}{
-		"the earliest turn":         {[]ask{near(7), near(2), near(5)}, 2},
-		"another site before turns": {[]ask{near(2), {piece: 9, turn: 9, far: true}, near(1)}, 9},
-		"of one box the first":      {[]ask{{piece: 4, turn: 3}, {piece: 6, turn: 3}}, 4},
+		"earliest turn":           {[]pieceRequest{near(7), near(2), near(5)}, 2},
+		"other site before turns": {[]pieceRequest{near(2), {piece: 9, loadPlace: 9, otherSite: true}, near(1)}, 9},
+		"first request of a box":  {[]pieceRequest{{piece: 4, loadPlace: 3}, {piece: 6, loadPlace: 3}}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := &uploader{queue: test.queue}
-			if next, ok := g.take(); !ok || next.piece != test.want {
-				t.Errorf("gives piece %d, want %d", next.piece, test.want)
+			if next, ok := g.dequeue(); !ok || next.piece != test.want {
+				t.Errorf("uploads piece %d, want %d", next.piece, test.want)
 			}
 		})
 	}
