--- a/box/box.go
+++ b/box/box.go
@@ -21,43 +21,43 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	leaveNotice   = 200 * time.Millisecond
+	headerTimeout    = 5 * time.Second
+	leaveGracePeriod = 200 * time.Millisecond
 )
 
 // Box is the daemon beside one upstream.
 type Box struct {
-	lives    upstreamLives
-	rest     rest
-	cfg      Config
-	log      *log.Entry
-	gate     Gate
-	store    *weights.Store
-	pacer    *pace.Pacer
-	follower *follower.Follower
-	members  *membership.Watcher
-	transfer *transfer.Transfer
-	loader   *loader
-	peers    *peers
-	leaving  atomic.Bool
-	began    time.Time
+	incarnations upstreamIncarnations
+	backoff      backoff
+	cfg          Config
+	log          *log.Entry
+	gate         Gate
+	store        *weights.Store
+	pacer        *pace.Pacer
+	follower     *follower.Follower
+	members      *membership.Watcher
+	transfer     *transfer.Transfer
+	loader       *loader
+	peers        *peers
+	leaving      atomic.Bool
+	startedAt    time.Time
 
 	mu       sync.Mutex
 	sessions map[*session]bool
 }
 
-// New returns a box that has started nothing yet.
+// New returns a box that is not running yet.
 func New(cfg Config) *Box {
 	cfg = cfg.withDefaults()
 	b := &Box{
-		cfg:      cfg,
-		log:      log.WithFields(log.Fields{"box": cfg.ID, "site": cfg.Site}),
-		store:    weights.NewStore(cfg.WeightsLimit),
-		pacer:    cfg.Pacer,
-		follower: follower.New(cfg.Ledger, cfg.Fleet, follower.Options{Checks: cfg.Checks}),
-		members:  membership.New(cfg.List, cfg.Fleet, cfg.ListInterval),
-		sessions: make(map[*session]bool),
-		began:    time.Now(),
+		cfg:       cfg,
+		log:       log.WithFields(log.Fields{"box": cfg.ID, "site": cfg.Site}),
+		store:     weights.NewStore(cfg.WeightsLimit),
+		pacer:     cfg.Pacer,
+		follower:  follower.New(cfg.Ledger, cfg.Fleet, follower.Options{Checks: cfg.Checks}),
+		members:   membership.New(cfg.List, cfg.Fleet, cfg.ListInterval),
+		sessions:  make(map[*session]bool),
+		startedAt: time.Now(),
 	}
 	holder := cfg.ID + "/" + cfg.Incarnation
 	b.transfer = transfer.New(transfer.Config{
@@ -84,50 +84,51 @@
 	return mux
 }
 
-// Heartbeat returns what the box tells the entries of itself.
+// Heartbeat returns the box's state as sent to entries.
 func (b *Box) Heartbeat() *link.Heartbeat {
-	offer, open := b.gate.State()
-	beat := &link.Heartbeat{
+	served, open := b.gate.State()
+	heartbeat := &link.Heartbeat{
 		Revision: b.follower.Config().Revision,
 		Leaving:  b.leaving.Load(),
-		Load:     b.gate.Inside(),
+		Load:     b.gate.InFlight(),
 		Slots:    b.cfg.Slots,
-		Entries:  b.entries(),
+		Entries:  b.entryCount(),
 		Resumes:  b.cfg.Resumes,
 		Service:  link.ServiceState{Service: b.cfg.Service, State: string(b.loader.phase())},
 		Progress: b.transfer.Progress(),
 	}
-	beat.Stopped = b.follower.Config().Stopped[b.cfg.ID]
-	if open && !b.rest.on(time.Now()) {
-		beat.Service.Open = true
-		beat.Service.Version = offer.Version
-		beat.Service.Digest = offer.Digest
+	heartbeat.Stopped = b.follower.Config().Stopped[b.cfg.ID]
+	if open && !b.backoff.active(time.Now()) {
+		heartbeat.Service.Open = true
+		heartbeat.Service.Version = served.Version
+		heartbeat.Service.Digest = served.Digest
 	}
 	if version, ok := b.follower.Config().Declared(b.cfg.Service); ok {
-		beat.Progress.Version = version.Name
+		heartbeat.Progress.Version = version.Name
 	}
-	return beat
+	return heartbeat
 }
 
-// Leave tells all entries that the box is leaving, lets no new request in, and waits until those in progress are done.
+// Leave announces to entries that the box is leaving, refuses new requests, and waits until those in progress are done or
+// the drain limit has passed.
 func (b *Box) Leave(ctx context.Context) {
 	b.leaving.Store(true)
 	b.gate.Close("the box is leaving")
-	b.tellSessions()
+	b.notifySessions()
 	ctx, cancel := context.WithTimeout(ctx, b.cfg.DrainLimit)
 	defer cancel()
 	select {
 	case <-b.gate.Idle():
 	case <-ctx.Done():
-		b.log.WithField("requests", b.gate.Inside()).Warn("box: leaves with requests in progress")
+		b.log.WithField("requests", b.gate.InFlight()).Warn("box: leaves with requests in progress")
 	}
 	select {
-	case <-time.After(leaveNotice):
+	case <-time.After(leaveGracePeriod):
 	case <-ctx.Done():
 	}
 }
 
-// Serve runs the box until ctx ends, without draining; Leave comes first in a planned stop.
+// Serve runs the box until ctx ends, without draining; a planned stop calls Leave first.
 func (b *Box) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, b.closeSessions)
 	defer stop()
@@ -145,16 +146,16 @@
 	return daemon.Run(ctx)
 }
 
-// Transfer returns the box's part in the spread of weights.
+// Transfer returns the box's transfer of weights.
 func (b *Box) Transfer() *transfer.Transfer { return b.transfer }
 
-// listPatience is how long a box waits for the list of live boxes before it takes itself for the only one of its service. Without
-// it a box that starts before it has read the list draws from the origin what its neighbours hold.
-const listPatience = swarm.DefaultRankWait
+// listTimeout is how long a box waits for the list of live boxes before it assumes that it is the only one of its service:
+// assuming so earlier, it would download from the origin what its neighbours hold.
+const listTimeout = swarm.DefaultRankWait
 
-// swarmMembers returns the live boxes of the own service; none while it is not known which there are.
+// swarmMembers returns the live boxes of this box's service; none while the list has not been read.
 func (b *Box) swarmMembers() []swarm.Member {
-	if !b.members.Read() && time.Since(b.began) < listPatience {
+	if !b.members.Read() && time.Since(b.startedAt) < listTimeout {
 		return nil
 	}
 	stopped := b.follower.Config().Stopped
--- a/box/config.go
+++ b/box/config.go
@@ -15,10 +15,10 @@
 	"github.com/coralstair/coralstair/transfer"
 )
 
-// DefaultDrainLimit is how long a leaving box waits for the requests in progress.
+// DefaultDrainLimit is the default of Config.DrainLimit.
 const DefaultDrainLimit = 10 * time.Minute
 
-// Config is what a box is built from.
+// Config holds a box's settings and the services that it uses.
 type Config struct {
 	ID          string
 	Fleet       string
@@ -27,32 +27,32 @@
 	Kind        fleet.Kind
 	Incarnation string
 
-	// Listener takes links, and the upstream's reads of weights.
+	// Listener accepts links, and the upstream's requests for weights.
 	Listener net.Listener
 	// Advertise is the host and port at which the upstream reaches Listener.
 	Advertise string
-	// UpstreamURL is the base of the upstream.
+	// UpstreamURL is the base URL of the upstream.
 	UpstreamURL string
-	// UncheckedFences says that the upstream takes orders whatever their fence.
+	// UncheckedFences says that the upstream accepts orders without checking their fence.
 	UncheckedFences bool
-	// Resumes says that the engine goes on with a broken-off stream after the events named in X-Resume-Events.
+	// ResumesStreams says that the engine resumes an interrupted stream after the events named in X-Resume-Events.
 	Resumes bool
-	// WeightsLimit is the memory for held weights in bytes; 0 means no limit.
+	// WeightsLimit is the memory for weights in bytes; 0 means no limit.
 	WeightsLimit int64
-	// Slots is how many requests the upstream takes at a time; 0 leaves it to the entries.
+	// Slots is how many requests the upstream takes at a time; 0 means that the box sets no limit.
 	Slots int
-	// Pacer shares the box's link between requests and chunks; the reads of Origin are to be paced by it as well.
+	// Pacer shares the box's link between requests and chunks; reads from Origin must be paced by it as well.
 	Pacer *pace.Pacer
-	// DrainLimit is how long a leaving box waits for the requests in progress.
+	// DrainLimit is how long a leaving box waits for requests in progress.
 	DrainLimit time.Duration
-	// Params tune the spread of weights; Self is set by the box.
+	// Params tune the transfer of weights; the box sets Self.
 	Params swarm.Params
 
 	Ledger follower.Ledger
 	Table  permit.Table
 	Origin transfer.Origin
 	List   membership.List
-	// ListInterval is how often the live list is read; 0 takes the default.
+	// ListInterval is how often the list of live boxes is read; 0 means the default.
 	ListInterval time.Duration
 	// LinkClient dials other boxes; nil means http.DefaultClient.
 	LinkClient *http.Client
--- a/box/doc.go
+++ b/box/doc.go
@@ -1,4 +1,3 @@
-// Package box is the daemon beside one upstream: it fetches, verifies and
-// shares weights, gives the upstream its orders, guards what the upstream runs
-// and drains before anything that would cut off a request.
+// Package box is the daemon beside one upstream: it fetches, verifies and shares weights, orders the upstream to load them,
+// forwards requests to it, and drains them before anything that would interrupt them.
 package box
--- a/box/ended.go
+++ b/box/ended.go
@@ -10,32 +10,32 @@
 	"github.com/coralstair/coralstair/probe"
 )
 
-// endLife is for how long what breaks off belongs to one end of the upstream: its connections break within milliseconds.
-const endLife = time.Second
+// endWindow is how long failed requests are attributed to the same end of the upstream, whose connections break together.
+const endWindow = time.Second
 
-// upstreamLives names the lives of the upstream that have ended, so that entries tell one end from another.
-type upstreamLives struct {
-	mu    sync.Mutex
-	ended int
-	at    time.Time
+// upstreamIncarnations names the incarnations of the upstream that ended, so that entries can tell them apart.
+type upstreamIncarnations struct {
+	mu        sync.Mutex
+	count     int
+	countedAt time.Time
 }
 
-// name returns the name of the life that has ended now.
-func (l *upstreamLives) name(box, incarnation string, now time.Time) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.ended == 0 || now.Sub(l.at) >= endLife {
-		l.ended++
-		l.at = now
+// endedName returns the name of the incarnation that ended now.
+func (u *upstreamIncarnations) endedName(box, incarnation string, now time.Time) string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.count == 0 || now.Sub(u.countedAt) >= endWindow {
+		u.count++
+		u.countedAt = now
 	}
-	return fmt.Sprintf("%s/%s#%d", box, incarnation, l.ended)
+	return fmt.Sprintf("%s/%s#%d", box, incarnation, u.count)
 }
 
-// lost says that it is not known how far a request ran, and whether the upstream has ended under it.
-func (b *Box) lost(reason string) link.End {
+// connectionLost returns the end of a request with unknown progress, and names the upstream's incarnation if it has ended.
+func (b *Box) connectionLost(reason string) link.End {
 	end := link.End{Outcome: link.OutcomeUnknown, Reason: reason}
 	if u, err := url.Parse(b.cfg.UpstreamURL); err == nil && probe.Refuses(u.Host) {
-		end.Ended = b.lives.name(b.cfg.ID, b.cfg.Incarnation, time.Now())
+		end.Ended = b.incarnations.endedName(b.cfg.ID, b.cfg.Incarnation, time.Now())
 	}
 	return end
 }
--- a/box/errors.go
+++ b/box/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// AddressTakenError says that the box's port is held, by an earlier daemon of the box perhaps.
+// AddressTakenError says that the box's port is in use, perhaps by an earlier daemon of the box.
 type AddressTakenError struct {
 	Address string
 	Err     error
@@ -10,7 +10,7 @@
 
 // Error names the address.
 func (e *AddressTakenError) Error() string {
-	return fmt.Sprintf("another daemon holds %s: %v", e.Address, e.Err)
+	return fmt.Sprintf("another daemon listens on %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
--- a/box/gate.go
+++ b/box/gate.go
@@ -6,24 +6,24 @@
 	"github.com/coralstair/coralstair/invariant"
 )
 
-// Offer is what a box serves: a version, its manifest's digest and the digest of the whole weights.
-type Offer struct {
+// ServedVersion is what a box serves: a version, its manifest's digest and the digest of the whole weights.
+type ServedVersion struct {
 	Version string
 	Digest  string
 	Whole   string
 }
 
-// Gate lets requests in while the box serves, and counts those in progress; a zero Gate is closed.
+// Gate admits requests while the box serves, and counts those in flight; a zero Gate is closed.
 type Gate struct {
-	mu     sync.Mutex
-	open   bool
-	offer  Offer
-	reason string
-	inside int
-	idle   chan struct{}
+	mu       sync.Mutex
+	open     bool
+	served   ServedVersion
+	reason   string
+	inFlight int
+	idle     chan struct{}
 }
 
-// Close lets no new request in; those inside go on.
+// Close stops admitting requests; those in flight go on.
 func (g *Gate) Close(reason string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -31,77 +31,77 @@
 	g.reason = reason
 }
 
-// Enter lets a request in, unless slots are taken already; the caller calls Leave once it is done. ok is false, with
-// the reason, when it does not. Slots of 0 mean no limit.
-func (g *Gate) Enter(slots int) (offer Offer, reason string, ok bool) {
+// Acquire admits a request unless slots requests are in flight; 0 means no limit. The caller calls Release once it is done;
+// if ok is false, reason says why the request was refused.
+func (g *Gate) Acquire(slots int) (version ServedVersion, reason string, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.open {
 		if g.reason == "" {
-			return Offer{}, "the box does not serve", false
+			return ServedVersion{}, "the box does not serve", false
 		}
-		return Offer{}, g.reason, false
+		return ServedVersion{}, g.reason, false
 	}
-	if slots > 0 && g.inside >= slots {
-		return Offer{}, "the box is full", false
+	if slots > 0 && g.inFlight >= slots {
+		return ServedVersion{}, "the box is full", false
 	}
-	g.inside++
-	return g.offer, "", true
+	g.inFlight++
+	return g.served, "", true
 }
 
-// Idle returns a channel that is closed when no request is inside.
+// Idle returns a channel that is closed when no request is in flight.
 func (g *Gate) Idle() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.idle == nil {
 		g.idle = make(chan struct{})
-		if g.inside == 0 {
+		if g.inFlight == 0 {
 			close(g.idle)
 		}
 	}
 	idle := g.idle
-	if g.inside == 0 {
+	if g.inFlight == 0 {
 		g.idle = nil
 	}
 	return idle
 }
 
-// Inside returns the number of requests in progress.
-func (g *Gate) Inside() int {
+// InFlight returns the number of requests in flight.
+func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.inside
+	return g.inFlight
 }
 
-// Leave ends a request that Enter let in.
-func (g *Gate) Leave() {
+// Release ends a request that Acquire admitted.
+func (g *Gate) Release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inside--
-	if g.inside == 0 && g.idle != nil {
+	g.inFlight--
+	if g.inFlight == 0 && g.idle != nil {
 		close(g.idle)
 		g.idle = nil
 	}
 }
 
-// Open lets requests in to an offer. While requests of another offer are inside it stays closed, since their
-// answers would come from two versions.
-func (g *Gate) Open(offer Offer, checks *invariant.Recorder) bool {
+// Open admits requests to a version. It fails while requests of another version are in flight, since the response to one
+// request must come from one version.
+func (g *Gate) Open(version ServedVersion, checks *invariant.Recorder) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.inside > 0 && !checks.Check(offer == g.offer, invariant.OneVersion,
-		"offer %s would replace %s under %d requests", offer.Digest, g.offer.Digest, g.inside) {
+	if g.inFlight > 0 && !checks.Check(version == g.served, invariant.OneVersion,
+		"offer %s would replace %s under %d requests", version.Digest, g.served.Digest, g.inFlight) {
 		return false
 	}
 	g.open = true
-	g.offer = offer
+	g.served = version
 	g.reason = ""
 	return true
 }
 
-// State returns the offer and whether the gate is open.
-func (g *Gate) State() (offer Offer, open bool) {
+// State returns the served version and whether the gate is open.
+func (g *Gate) State() (version ServedVersion, open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.offer, g.open
+	return g.served, g.open
 }
--- a/box/http.go
+++ b/box/http.go
@@ -14,7 +14,7 @@
 
 const pathWeights = "/weights/"
 
-// serveLink takes a link from an entry or another box.
+// serveLink serves a link from an entry or another box.
 func (b *Box) serveLink(w http.ResponseWriter, r *http.Request) {
 	conn, err := link.Accept(w, r, b.pacer)
 	if err != nil {
@@ -22,7 +22,7 @@
 		return
 	}
 	defer conn.Close()
-	hello, err := b.greet(conn)
+	hello, err := b.handshake(conn)
 	if err != nil {
 		b.log.WithError(err).Debug("box: link not greeted")
 		return
@@ -38,7 +38,7 @@
 func (b *Box) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	metrics.WritePrometheus(w, true)
 	writeGauge(w, "coralstair_weights_held_bytes", b.store.Held())
-	writeGauge(w, "coralstair_requests_in_progress", int64(b.gate.Inside()))
+	writeGauge(w, "coralstair_requests_in_progress", int64(b.gate.InFlight()))
 	progress := b.transfer.Progress()
 	writeGauge(w, "coralstair_origin_bytes_total", progress.OriginBytes)
 	writeGauge(w, "coralstair_peer_bytes_total", progress.PeerBytes)
@@ -54,7 +54,7 @@
 	}
 }
 
-// serveWeights gives the upstream the whole of a verified version.
+// serveWeights sends the upstream the whole weights of a verified version.
 func (b *Box) serveWeights(w http.ResponseWriter, r *http.Request) {
 	digest, err := weights.ParseDigest(r.PathValue("digest"))
 	if err != nil {
--- a/box/loader.go
+++ b/box/loader.go
@@ -14,40 +14,40 @@
 )
 
 const (
-	loaderEvery = 100 * time.Millisecond
-	stateEvery  = time.Second
-	slotRetry   = time.Second
-	orderRetry  = 2 * time.Second
-	epochRetry  = time.Second
+	loaderInterval  = 100 * time.Millisecond
+	stateInterval   = time.Second
+	drainLeaseRetry = time.Second
+	orderRetryDelay = 2 * time.Second
+	epochRetryDelay = time.Second
 )
 
-// loader brings the upstream from what it runs to what is declared, one step at a time.
+// loader moves the upstream to the declared version, one step at a time.
 type loader struct {
 	box    *Box
 	client *upstream.Client
 	drains *permit.Drains
 
-	epoch     int64
-	nextEpoch time.Time
-	orders    int64
-	fence     upstream.Fence
-	slot      *permit.Slot
-	nextSlot  time.Time
-	ordered   weights.Digest
-	nextOrder time.Time
-	state     upstream.State
-	stateAt   time.Time
-	unknown   bool
-	reachable bool
+	epoch            int64
+	nextEpochAttempt time.Time
+	orderCount       int64
+	fence            upstream.Fence
+	drainLease       *permit.Slot
+	nextLeaseAttempt time.Time
+	orderedDigest    weights.Digest
+	nextOrderAttempt time.Time
+	state            upstream.State
+	stateAt          time.Time
+	stateUnknown     bool
+	reachable        bool
 
-	mu      sync.Mutex
-	current Phase
-	doubt   bool
+	mu         sync.Mutex
+	current    Phase
+	stateStale bool
 }
 
-// Serve takes step after step until ctx ends.
+// Serve runs steps until ctx ends.
 func (l *loader) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(loaderEvery)
+	ticker := time.NewTicker(loaderInterval)
 	defer ticker.Stop()
 	for {
 		if l.box.cfg.Kind == fleet.KindPlain {
@@ -75,11 +75,11 @@
 	return l.current
 }
 
-// suspect has the upstream asked for its state before it is trusted again.
-func (l *loader) suspect() {
+// markStateStale makes the loader read the upstream's state before it relies on it again.
+func (l *loader) markStateStale() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.doubt = true
+	l.stateStale = true
 }
 
 func (l *loader) setPhase(phase Phase) {
@@ -91,111 +91,111 @@
 		return
 	}
 	l.box.log.WithField("phase", string(phase)).Info("loader: phase changed")
-	l.box.tellSessions()
+	l.box.notifySessions()
 }
 
-func (l *loader) stopped(cfg fleet.Config) bool {
+func (l *loader) isStopped(cfg fleet.Config) bool {
 	return l.box.leaving.Load() || cfg.Stopped[l.box.cfg.ID]
 }
 
-// stepPlain opens the gate while the plain service answers.
+// stepPlain keeps the gate open while the plain service answers.
 func (l *loader) stepPlain(ctx context.Context) {
 	cfg := l.box.follower.Config()
 	_, known := cfg.Services[l.box.cfg.Service]
-	if l.takeDoubt() || time.Since(l.stateAt) > stateEvery {
+	if l.clearStateStale() || time.Since(l.stateAt) > stateInterval {
 		l.reachable = l.client.Reachable(ctx)
 		l.stateAt = time.Now()
 	}
 	_, open := l.box.gate.State()
 	switch {
-	case l.stopped(cfg):
+	case l.isStopped(cfg):
 		l.box.gate.Close("the box is stopped")
 		l.setPhase(PhaseStopped)
 	case !known || !l.reachable:
 		l.box.gate.Close("the upstream is not there")
 		l.setPhase(PhaseNone)
 	case !open:
-		l.box.gate.Open(Offer{}, l.box.cfg.Checks)
+		l.box.gate.Open(ServedVersion{}, l.box.cfg.Checks)
 		l.setPhase(PhaseServing)
 	}
 }
 
-// stepModel takes the next step towards the declared version.
+// stepModel runs the next step towards the declared version.
 func (l *loader) stepModel(ctx context.Context) {
 	cfg := l.box.follower.Config()
 	l.box.transfer.SetPrefer(cfg.Prefer)
 	version, _ := cfg.Declared(l.box.cfg.Service)
 	declared, err := weights.ParseDigest(version.Digest)
 	if version.Digest != "" && err != nil {
-		l.box.log.WithError(err).Error("loader: declared digest cannot be read")
+		l.box.log.WithError(err).Error("loader: declared digest cannot be parsed")
 		return
 	}
-	l.haveEpoch(ctx)
-	l.refresh(ctx)
-	l.renewSlot(ctx)
-	offer, open := l.box.gate.State()
+	l.ensureEpoch(ctx)
+	l.refreshState(ctx)
+	l.renewDrainLease(ctx)
+	served, open := l.box.gate.State()
 	manifest, complete, failed := l.box.transfer.Complete(declared)
 	if failed != nil && !open {
-		l.box.log.WithError(failed).Error("loader: declared version can not be had")
+		l.box.log.WithError(failed).Error("loader: declared version cannot be fetched")
 		l.setPhase(PhaseStuck)
 		return
 	}
 	facts := Facts{
-		Declared: declared, Offered: digestOrZero(offer.Digest), Open: open,
-		Withdrawn: open && !cfg.Digests(l.box.cfg.Service)[offer.Digest],
-		Stopped:   l.stopped(cfg), Complete: complete, Slot: l.slot != nil, Inside: l.box.gate.Inside(),
-		Loaded:  !l.unknown && l.loaded(manifest, complete, offer, declared),
-		Unknown: l.unknown,
-		Loading: l.state.Phase == upstream.PhaseLoading && l.ordered == declared,
+		Declared: declared, Served: digestOrZero(served.Digest), Open: open,
+		Withdrawn: open && !cfg.Digests(l.box.cfg.Service)[served.Digest],
+		Stopped:   l.isStopped(cfg), Complete: complete, HasLease: l.drainLease != nil, InFlight: l.box.gate.InFlight(),
+		Loaded:  !l.stateUnknown && l.loaded(manifest, complete, served, declared),
+		Unknown: l.stateUnknown,
+		Loading: l.state.Phase == upstream.PhaseLoading && l.orderedDigest == declared,
 	}
 	phase, step := Next(facts)
-	l.take(ctx, step, cfg, version, declared, manifest)
+	l.runStep(ctx, step, cfg, version, declared, manifest)
 	l.setPhase(phase)
 }
 
-func (l *loader) take(ctx context.Context, step Step, cfg fleet.Config, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
-	offer, _ := l.box.gate.State()
+func (l *loader) runStep(ctx context.Context, step Step, cfg fleet.Config, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
+	served, _ := l.box.gate.State()
 	switch step {
 	case StepFetch:
-		l.box.transfer.SetTarget(declared, digestOrZero(offer.Digest))
-	case StepTakeSlot:
-		l.takeSlot(ctx, cfg.Services[l.box.cfg.Service])
+		l.box.transfer.SetTarget(declared, digestOrZero(served.Digest))
+	case StepAcquireLease:
+		l.acquireDrainLease(ctx, cfg.Services[l.box.cfg.Service])
 	case StepClose:
 		l.box.gate.Close("the box does not serve now")
-		l.box.tellSessions()
+		l.box.notifySessions()
 	case StepLoad:
-		l.order(ctx, cfg, version, declared, manifest)
+		l.orderLoad(ctx, cfg, version, declared, manifest)
 	case StepServe:
-		l.serve(ctx, version, declared, manifest)
+		l.openGate(ctx, version, declared, manifest)
 	case StepNothing, StepDrain:
 	}
 }
 
 // loaded reports whether the upstream runs exactly the declared weights.
-func (l *loader) loaded(manifest weights.Manifest, complete bool, offer Offer, declared weights.Digest) bool {
+func (l *loader) loaded(manifest weights.Manifest, complete bool, served ServedVersion, declared weights.Digest) bool {
 	if l.state.Phase != upstream.PhaseReady {
 		return false
 	}
 	if complete {
 		return l.state.Digest == manifest.Whole.String()
 	}
-	return offer.Digest == declared.String() && l.state.Digest == offer.Whole
+	return served.Digest == declared.String() && l.state.Digest == served.Whole
 }
 
-// order tells the upstream to load the declared weights, once it is known that all of them are held.
-func (l *loader) order(ctx context.Context, cfg fleet.Config, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
-	if time.Now().Before(l.nextOrder) || !l.haveEpoch(ctx) || !l.guard(ctx) {
+// orderLoad orders the upstream to load the declared weights, once all of them are verified.
+func (l *loader) orderLoad(ctx context.Context, cfg fleet.Config, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
+	if time.Now().Before(l.nextOrderAttempt) || !l.ensureEpoch(ctx) || !l.isNewestDaemon(ctx) {
 		return
 	}
-	l.nextOrder = time.Now().Add(orderRetry)
+	l.nextOrderAttempt = time.Now().Add(orderRetryDelay)
 	if _, complete, _ := l.box.transfer.Complete(declared); !l.box.cfg.Checks.Check(complete, invariant.VerifiedBeforeUse,
 		"order to load %s before it was verified", declared) {
 		return
 	}
 	ctx, span := tracing.Start(ctx, "engine load")
 	defer span.End()
-	l.orders++
-	fence := upstream.Fence{Epoch: l.epoch, Revision: uint64(cfg.Revision), Number: l.orders}
+	l.orderCount++
+	fence := upstream.Fence{Epoch: l.epoch, Revision: uint64(cfg.Revision), Number: l.orderCount}
 	l.box.cfg.Checks.Check(l.fence.Less(fence), invariant.FenceGrows, "fence %+v would follow %+v", fence, l.fence)
 	l.fence = fence
 	err := l.client.Order(ctx, upstream.Order{
@@ -207,113 +207,113 @@
 	if err != nil {
 		l.box.log.WithError(err).Warn("loader: order not confirmed")
 	}
-	l.ordered = declared
-	l.suspect()
+	l.orderedDigest = declared
+	l.markStateStale()
 }
 
-// haveEpoch takes the daemon's epoch from the table once, as early as it can be had, so that an outage later does not
-// matter; without it no order may be given.
-func (l *loader) haveEpoch(ctx context.Context) bool {
-	if l.epoch > 0 || time.Now().Before(l.nextEpoch) {
+// ensureEpoch gets the daemon's epoch from the table once, as early as possible, so that a later outage does not matter;
+// no order is sent without it.
+func (l *loader) ensureEpoch(ctx context.Context) bool {
+	if l.epoch > 0 || time.Now().Before(l.nextEpochAttempt) {
 		return l.epoch > 0
 	}
-	l.nextEpoch = time.Now().Add(epochRetry)
+	l.nextEpochAttempt = time.Now().Add(epochRetryDelay)
 	epoch, err := permit.Epoch(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID)
 	if err != nil {
-		l.box.log.WithError(err).Warn("loader: no epoch, so no orders yet")
+		l.box.log.WithError(err).Warn("loader: no epoch; orders cannot be sent yet")
 		return false
 	}
 	l.epoch = epoch
 	return true
 }
 
-// guard stands in for the fence at an upstream that does not check it: the table must not know of a later daemon of
-// this box. While the table is out the box's port alone is the lock.
-func (l *loader) guard(ctx context.Context) bool {
+// isNewestDaemon replaces the fence for an upstream that does not check it: the table must know no newer daemon of this box.
+// While the table is unreachable, only the box's port protects against a second daemon.
+func (l *loader) isNewestDaemon(ctx context.Context) bool {
 	if !l.box.cfg.UncheckedFences {
 		return true
 	}
 	current, err := permit.Current(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID, l.epoch)
 	if err == nil && !current {
-		l.box.log.Error("loader: a later daemon of this box has orders to give")
+		l.box.log.Error("loader: a newer daemon of this box is running; order not sent")
 		return false
 	}
 	return true
 }
 
-// refresh asks the upstream for its state when that is old, in doubt or about to change.
-func (l *loader) refresh(ctx context.Context) {
-	doubt := l.takeDoubt()
+// refreshState reads the upstream's state when it is old, stale or about to change.
+func (l *loader) refreshState(ctx context.Context) {
+	stale := l.clearStateStale()
 	loading := l.state.Phase == upstream.PhaseLoading
-	if !doubt && !loading && time.Since(l.stateAt) < stateEvery {
+	if !stale && !loading && time.Since(l.stateAt) < stateInterval {
 		return
 	}
 	l.stateAt = time.Now()
 	state, err := l.client.State(ctx)
 	if err != nil {
-		l.unknown = true
-		l.box.log.WithError(err).Warn("loader: upstream's state not known")
+		l.stateUnknown = true
+		l.box.log.WithError(err).Warn("loader: upstream state not known")
 		return
 	}
-	l.unknown = false
+	l.stateUnknown = false
 	l.state = state
 }
 
-// renewSlot keeps the drain permit while long answers are waited for.
-func (l *loader) renewSlot(ctx context.Context) {
-	if l.slot == nil || !l.slot.Due(time.Now()) {
+// renewDrainLease keeps the drain lease while long responses are in flight.
+func (l *loader) renewDrainLease(ctx context.Context) {
+	if l.drainLease == nil || !l.drainLease.Due(time.Now()) {
 		return
 	}
-	slot, err := l.drains.Renew(ctx, *l.slot)
+	lease, err := l.drains.Renew(ctx, *l.drainLease)
 	if err != nil {
-		l.box.log.WithError(err).Warn("loader: drain permit not renewed")
+		l.box.log.WithError(err).Warn("loader: drain lease not renewed")
 		return
 	}
-	l.slot = &slot
+	l.drainLease = &lease
 }
 
-// serve lets requests in and gives the drain permit back.
-func (l *loader) serve(ctx context.Context, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
+// openGate admits requests and releases the drain lease.
+func (l *loader) openGate(ctx context.Context, version fleet.Version, declared weights.Digest, manifest weights.Manifest) {
 	whole := manifest.Whole
 	if whole.IsZero() {
 		whole = digestOrZero(l.state.Digest)
 	}
-	offer := Offer{Version: version.Name, Digest: declared.String(), Whole: whole.String()}
-	if !l.box.gate.Open(offer, l.box.cfg.Checks) {
+	served := ServedVersion{Version: version.Name, Digest: declared.String(), Whole: whole.String()}
+	if !l.box.gate.Open(served, l.box.cfg.Checks) {
 		return
 	}
-	l.box.tellSessions()
-	if l.slot == nil {
+	l.box.notifySessions()
+	if l.drainLease == nil {
 		return
 	}
-	if err := l.drains.Release(ctx, *l.slot); err != nil {
-		l.box.log.WithError(err).Warn("loader: drain permit lapses by itself")
+	if err := l.drains.Release(ctx, *l.drainLease); err != nil {
+		l.box.log.WithError(err).Warn("loader: drain lease not released; it will expire")
 	}
-	l.slot = nil
+	l.drainLease = nil
 }
 
-func (l *loader) takeDoubt() bool {
+func (l *loader) clearStateStale() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	doubt := l.doubt
-	l.doubt = false
-	return doubt
+	stale := l.stateStale
+	l.stateStale = false
+	return stale
 }
 
-// takeSlot asks for a permit to drain, so that only a share of the service's replicas does so at a time.
-func (l *loader) takeSlot(ctx context.Context, service fleet.Service) {
-	if time.Now().Before(l.nextSlot) {
+// acquireDrainLease gets a drain lease, so that only a share of the service's replicas drains at a time.
+func (l *loader) acquireDrainLease(ctx context.Context, service fleet.Service) {
+	if time.Now().Before(l.nextLeaseAttempt) {
 		return
 	}
-	slot, ok, err := l.drains.Take(ctx, service.Name, service.Draining())
+	lease, ok, err := l.drains.Take(ctx, service.Name, service.Draining())
 	if err != nil {
-		l.box.log.WithError(err).Warn("loader: no answer on the drain permit")
+		l.box.log.WithError(err).Warn("loader: drain lease not acquired")
 	}
 	if !ok {
-		l.nextSlot = time.Now().Add(slotRetry)
+		l.nextLeaseAttempt = time.Now().Add(drainLeaseRetry)
 		return
 	}
-	l.slot = &slot
+	l.drainLease = &lease
 }
 
 func digestOrZero(text string) weights.Digest {
--- a/box/peers.go
+++ b/box/peers.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	peersEvery   = 250 * time.Millisecond
-	dialTimeout  = 5 * time.Second
-	dialPause    = time.Second
-	dialYield    = 1500 * time.Millisecond
-	peerSilence  = 20 * time.Second
-	unneededTime = 15 * time.Second
+	peersInterval      = 250 * time.Millisecond
+	dialTimeout        = 5 * time.Second
+	redialDelay        = time.Second
+	yieldDelay         = 1500 * time.Millisecond
+	peerSilenceTimeout = 20 * time.Second
+	idleLinkTimeout    = 15 * time.Second
 )
 
 // peers keeps the links to other boxes that the transfer needs.
 type peers struct {
 	box *Box
 
-	mu      sync.Mutex
-	links   map[string]*peerLink
-	dialing map[string]bool
-	after   map[string]time.Time
-	needed  map[string]time.Time
+	mu        sync.Mutex
+	links     map[string]*peerLink
+	dialing   map[string]bool
+	dialAfter map[string]time.Time
+	neededAt  map[string]time.Time
 }
 
 // peerLink is a link to another box; dialer is the id of the box that opened it.
@@ -39,24 +39,24 @@
 
 func newPeers(b *Box) *peers {
 	return &peers{
-		box:     b,
-		links:   make(map[string]*peerLink),
-		dialing: make(map[string]bool),
-		after:   make(map[string]time.Time),
-		needed:  make(map[string]time.Time),
+		box:       b,
+		links:     make(map[string]*peerLink),
+		dialing:   make(map[string]bool),
+		dialAfter: make(map[string]time.Time),
+		neededAt:  make(map[string]time.Time),
 	}
 }
 
-// Serve opens the links that are wanted, and closes own ones that no longer are, until ctx ends.
+// Serve opens the links that are needed, and closes own idle ones, until ctx ends.
 func (p *peers) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(peersEvery)
+	ticker := time.NewTicker(peersInterval)
 	defer ticker.Stop()
 	for {
 		p.box.transfer.SetMembers(p.box.swarmMembers())
 		for _, member := range p.box.transfer.Wanted() {
-			p.want(ctx, member)
+			p.ensureLink(ctx, member)
 		}
-		p.closeUnneeded()
+		p.closeIdle()
 		changed := p.box.members.Changed()
 		select {
 		case <-ctx.Done():
@@ -76,23 +76,23 @@
 	}
 }
 
-func (p *peers) closeUnneeded() {
+func (p *peers) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, l := range p.links {
-		if l.dialer == p.box.cfg.ID && time.Since(p.needed[id]) > unneededTime {
+		if l.dialer == p.box.cfg.ID && time.Since(p.neededAt[id]) > idleLinkTimeout {
 			l.conn.Close()
 		}
 	}
 }
 
-// dial opens one link and runs it until it ends.
+// dial opens a link and serves it until it ends.
 func (p *peers) dial(ctx context.Context, id, address string) {
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		delete(p.dialing, id)
-		p.after[id] = time.Now().Add(dialPause/2 + rand.N(dialPause))
+		p.dialAfter[id] = time.Now().Add(redialDelay/2 + rand.N(redialDelay))
 	}()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -116,8 +116,8 @@
 	p.run(conn, hello, p.box.cfg.ID)
 }
 
-// register takes a link into use. Of two links with one box that which the smaller id opened stays, except that
-// a link of a newer daemon of the box replaces that of an earlier one.
+// register starts to use a link. Of two links between the same daemons, the one that the smaller id opened stays; a link of
+// a newer daemon replaces that of an earlier one.
 func (p *peers) register(id string, l *peerLink) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,11 +129,11 @@
 		old.conn.Close()
 	}
 	p.links[id] = l
-	p.needed[id] = time.Now()
+	p.neededAt[id] = time.Now()
 	return true
 }
 
-// run uses a greeted link until it ends.
+// run serves a link after the handshake until it ends.
 func (p *peers) run(conn *link.Conn, hello *link.Hello, dialer string) {
 	l := &peerLink{conn: conn, dialer: dialer, incarnation: hello.Incarnation}
 	if !p.register(hello.ID, l) {
@@ -142,19 +142,19 @@
 	defer p.unregister(hello.ID, l)
 	peer := p.box.transfer.AddPeer(conn.Context(), swarm.Member{ID: hello.ID, Site: hello.Site}, conn)
 	defer p.box.transfer.RemovePeer(peer)
-	p.box.hear(conn, hello.Revision)
-	silence := time.AfterFunc(peerSilence, conn.Close)
+	p.box.syncRevision(conn, hello.Revision)
+	silence := time.AfterFunc(peerSilenceTimeout, conn.Close)
 	defer silence.Stop()
-	go p.beat(conn)
+	go p.sendHeartbeats(conn)
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		silence.Reset(peerSilence)
+		silence.Reset(peerSilenceTimeout)
 		switch m := msg.(type) {
 		case *link.Heartbeat:
-			p.box.hear(conn, m.Revision)
+			p.box.syncRevision(conn, m.Revision)
 		case *link.Config:
 			p.box.follower.Offer(m.Config)
 		default:
@@ -163,8 +163,8 @@
 	}
 }
 
-func (p *peers) beat(conn *link.Conn) {
-	ticker := time.NewTicker(heartbeatEvery)
+func (p *peers) sendHeartbeats(conn *link.Conn) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -186,20 +186,20 @@
 	}
 }
 
-// want opens a link to a box unless there is one. Within a site the smaller id dials first, since the other end
-// mostly wants the link as well.
-func (p *peers) want(ctx context.Context, member swarm.Member) {
+// ensureLink opens a link to a box unless there is one. Within a site the smaller id dials first, since the other box usually
+// needs the link as well.
+func (p *peers) ensureLink(ctx context.Context, member swarm.Member) {
 	address := p.address(member.ID)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.needed[member.ID] = time.Now()
+	p.neededAt[member.ID] = time.Now()
 	if address == "" || p.links[member.ID] != nil || p.dialing[member.ID] {
 		return
 	}
-	after, known := p.after[member.ID]
+	after, known := p.dialAfter[member.ID]
 	if !known && member.Site == p.box.cfg.Site && p.box.cfg.ID > member.ID {
-		after = time.Now().Add(dialYield)
-		p.after[member.ID] = after
+		after = time.Now().Add(yieldDelay)
+		p.dialAfter[member.ID] = after
 	}
 	if time.Now().Before(after) {
 		return
--- a/box/phase.go
+++ b/box/phase.go
@@ -2,7 +2,7 @@
 
 import "github.com/coralstair/coralstair/weights"
 
-// Phase is where a box stands on the way to the declared version of its service.
+// Phase is a box's progress towards the declared version of its service.
 type Phase string
 
 // The phases of a box.
@@ -17,29 +17,29 @@
 	PhaseStuck    Phase = "stuck"
 )
 
-// Step is the one thing to do next.
+// Step is the next thing to do.
 type Step int
 
 // The steps of a box; each may be repeated.
 const (
 	StepNothing Step = iota
 	StepFetch
-	StepTakeSlot
+	StepAcquireLease
 	StepDrain
 	StepLoad
 	StepServe
 	StepClose
 )
 
-// Facts is what is known when the next step is chosen.
+// Facts is the state from which the next step is chosen.
 type Facts struct {
 	// Declared is the manifest of the declared version; zero while none is declared.
 	Declared weights.Digest
-	// Offered is the manifest of the version last opened to requests; zero if none.
-	Offered weights.Digest
-	// Withdrawn says that the offered version has been dropped from the configuration.
+	// Served is the manifest of the version that the gate last admitted requests to; zero if none.
+	Served weights.Digest
+	// Withdrawn says that the served version has been removed from the configuration.
 	Withdrawn bool
-	// Open says that requests are let in.
+	// Open says that requests are admitted.
 	Open bool
 	// Stopped says that an operator stopped the box or that it is leaving.
 	Stopped bool
@@ -47,17 +47,17 @@
 	Complete bool
 	// Loaded says that the upstream reports exactly the declared weights.
 	Loaded bool
-	// Unknown says that the upstream has not told its state for a while: nothing is to be concluded from that.
+	// Unknown says that the upstream's state could not be read; nothing is concluded from it then.
 	Unknown bool
-	// Loading says that the upstream is at work on an order for the declared weights.
+	// Loading says that the upstream is working on an order for the declared weights.
 	Loading bool
-	// Slot says that the box holds a permit to drain.
-	Slot bool
-	// Inside is the number of requests in progress.
-	Inside int
+	// HasLease says that the box holds a drain lease.
+	HasLease bool
+	// InFlight is the number of requests in flight.
+	InFlight int
 }
 
-// Next returns the phase that the facts amount to and the step to take.
+// Next returns the phase for the given facts and the next step.
 func Next(f Facts) (Phase, Step) {
 	switch {
 	case f.Stopped && f.Open:
@@ -68,23 +68,23 @@
 		return PhaseNone, StepClose
 	case f.Declared.IsZero():
 		return PhaseNone, StepNothing
-	case f.Unknown && f.Open && f.Offered == f.Declared:
+	case f.Unknown && f.Open && f.Served == f.Declared:
 		return PhaseServing, StepNothing
 	case f.Unknown && !f.Open && f.Complete:
 		return PhaseLoading, StepNothing
-	case f.Open && f.Offered == f.Declared && f.Loaded:
+	case f.Open && f.Served == f.Declared && f.Loaded:
 		return PhaseServing, StepNothing
-	case f.Open && f.Offered == f.Declared:
+	case f.Open && f.Served == f.Declared:
 		return PhaseLoading, StepClose
-	case f.Loaded && !f.Open && (f.Offered == f.Declared || f.Inside == 0):
+	case f.Loaded && !f.Open && (f.Served == f.Declared || f.InFlight == 0):
 		return PhaseLoading, StepServe
 	case !f.Complete:
 		return PhaseFetching, StepFetch
-	case f.Open && !f.Slot:
-		return PhaseVerified, StepTakeSlot
+	case f.Open && !f.HasLease:
+		return PhaseVerified, StepAcquireLease
 	case f.Open:
 		return PhaseDraining, StepClose
-	case f.Inside > 0:
+	case f.InFlight > 0:
 		return PhaseDraining, StepDrain
 	case f.Loading:
 		return PhaseLoading, StepNothing
--- a/box/rest.go
+++ b/box/rest.go
@@ -7,56 +7,55 @@
 	"time"
 )
 
-// longestRest bounds how long an upstream is left alone: more is an error of its own.
-const longestRest = time.Hour
+// maxRetryAfter caps the Retry-After of an upstream.
+const maxRetryAfter = time.Hour
 
-// rest is until when the upstream wants nothing; the zero rest is over.
-type rest struct {
+// backoff is the time until which the upstream gets no requests; a zero backoff is over.
+type backoff struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-// on reports whether the upstream rests.
-func (r *rest) on(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return now.Before(r.until)
+func (b *backoff) active(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return now.Before(b.until)
 }
 
-// begin has the upstream rest for some time, longer than that if it was to.
-func (r *rest) begin(until time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if until.After(r.until) {
-		r.until = until
+// extend prolongs the backoff; it never shortens it.
+func (b *backoff) extend(until time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if until.After(b.until) {
+		b.until = until
 	}
 }
 
-// restOf returns for how long an upstream asks for nothing more in the head of an answer that turns a request away.
-func restOf(resp *http.Response, now time.Time) time.Duration {
+// retryAfter returns the Retry-After of a 503 response; 0 if there is none.
+func retryAfter(resp *http.Response, now time.Time) time.Duration {
 	after := resp.Header.Get("Retry-After")
 	if resp.StatusCode != http.StatusServiceUnavailable || after == "" {
 		return 0
 	}
 	if seconds, err := strconv.ParseFloat(after, 64); err == nil && seconds >= 0 {
-		return time.Duration(min(seconds, longestRest.Seconds()) * float64(time.Second))
+		return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 	}
 	at, err := http.ParseTime(after)
 	if err != nil {
 		return 0
 	}
-	return min(max(at.Sub(now), 0), longestRest)
+	return min(max(at.Sub(now), 0), maxRetryAfter)
 }
 
-// noteRest has entries send nothing here while the upstream wants to rest: each request would come back refused, to its caller.
-func (b *Box) noteRest(resp *http.Response) {
+// applyRetryAfter makes entries send no requests during the upstream's Retry-After, since each would be refused.
+func (b *Box) applyRetryAfter(resp *http.Response) {
 	now := time.Now()
-	d := restOf(resp, now)
+	d := retryAfter(resp, now)
 	if d <= 0 {
 		return
 	}
 	b.log.WithField("for_ms", d.Milliseconds()).Info("box: the upstream wants to rest")
-	b.rest.begin(now.Add(d))
-	b.tellSessions()
-	time.AfterFunc(d, b.tellSessions)
+	b.backoff.extend(now.Add(d))
+	b.notifySessions()
+	time.AfterFunc(d, b.notifySessions)
 }
--- a/box/session.go
+++ b/box/session.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	heartbeatEvery = time.Second
-	bodyPiece      = 32 << 10
-	// digestHeader is where an engine says which whole weights gave the answer.
+	heartbeatInterval = time.Second
+	bodyBufferBytes   = 32 << 10
+	// digestHeader names the digest of the whole weights that produced the response.
 	digestHeader = "X-Model-Digest"
 )
 
 // session is the link of one entry.
 type session struct {
-	box    *Box
-	conn   *link.Conn
-	poke   chan struct{}
-	inside atomic.Int64
+	box      *Box
+	conn     *link.Conn
+	notify   chan struct{}
+	inFlight atomic.Int64
 }
 
-// greet exchanges hellos on a link that a peer opened.
-func (b *Box) greet(conn *link.Conn) (*link.Hello, error) {
+// handshake exchanges hellos on a link that a peer opened.
+func (b *Box) handshake(conn *link.Conn) (*link.Hello, error) {
 	msg, err := conn.Receive()
 	if err != nil {
 		return nil, err
@@ -55,13 +55,13 @@
 	}
 }
 
-// serveEntry answers an entry's requests until its link ends.
+// serveEntry serves an entry's requests until its link ends.
 func (b *Box) serveEntry(conn *link.Conn, hello *link.Hello) {
-	s := &session{box: b, conn: conn, poke: make(chan struct{}, 1)}
+	s := &session{box: b, conn: conn, notify: make(chan struct{}, 1)}
 	b.addSession(s)
 	defer b.removeSession(s)
-	b.hear(conn, hello.Revision)
-	go s.beat()
+	b.syncRevision(conn, hello.Revision)
+	go s.sendHeartbeats()
 	server := relay.NewServer(conn.Context(), conn, s.serveRequest)
 	for {
 		msg, err := conn.Receive()
@@ -70,7 +70,7 @@
 		}
 		switch m := msg.(type) {
 		case *link.Heartbeat:
-			b.hear(conn, m.Revision)
+			b.syncRevision(conn, m.Revision)
 		case *link.Config:
 			b.follower.Offer(m.Config)
 		default:
@@ -79,16 +79,16 @@
 	}
 }
 
-// hear notes a peer's revision and hands on the configuration when the peer's is older.
-func (b *Box) hear(conn *link.Conn, revision fleet.Revision) {
+// syncRevision records a peer's revision and sends the configuration if the peer's is older.
+func (b *Box) syncRevision(conn *link.Conn, revision fleet.Revision) {
 	if _, older := b.follower.Heard(revision); older {
 		_ = conn.Send(conn.Context(), &link.Config{Config: b.follower.Config()})
 	}
 }
 
-// beat tells the entry the box's state each second, and at once when it changes.
-func (s *session) beat() {
-	ticker := time.NewTicker(heartbeatEvery)
+// sendHeartbeats sends the entry the box's state periodically, and whenever it changes.
+func (s *session) sendHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		if s.conn.Send(s.conn.Context(), s.box.Heartbeat()) != nil {
@@ -96,7 +96,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-s.poke:
+		case <-s.notify:
 		case <-s.conn.Context().Done():
 			return
 		}
@@ -123,46 +123,45 @@
 	delete(b.sessions, s)
 }
 
-// tellSessions has every entry told the box's state now.
-func (b *Box) tellSessions() {
+// notifySessions sends the box's state to all entries now.
+func (b *Box) notifySessions() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for s := range b.sessions {
 		select {
-		case s.poke <- struct{}{}:
+		case s.notify <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// entries returns the number of entries that have a link to the box.
-func (b *Box) entries() int {
+// entryCount returns the number of entries that have a link to the box.
+func (b *Box) entryCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.sessions)
 }
 
-// limit is how many requests may be inside for one more of this entry to be let in. An entry with less than its even
-// share of the slots may go beyond them a little: else one that always has requests waiting would take each slot
-// again as it falls free, and the others would get none.
-func (s *session) limit() int {
-	slots, entries := s.box.cfg.Slots, s.box.entries()
-	if slots == 0 || entries == 0 || int(s.inside.Load()) >= slots/entries {
+// inFlightLimit is the limit of requests in flight for one more request of this entry. An entry with less than its even share
+// of the slots may exceed the slots slightly; otherwise one with queued requests would take every slot that becomes free.
+func (s *session) inFlightLimit() int {
+	slots, entries := s.box.cfg.Slots, s.box.entryCount()
+	if slots == 0 || entries == 0 || int(s.inFlight.Load()) >= slots/entries {
 		return slots
 	}
-	return slots + (slots+overcommit-1)/overcommit
+	return slots + (slots+overcommitDivisor-1)/overcommitDivisor
 }
 
-// overcommit divides the slots into the part by which they may be exceeded.
-const overcommit = 4
+// overcommitDivisor divides the slots into the part by which they may be exceeded.
+const overcommitDivisor = 4
 
 // serveRequest runs one request at the upstream, if the box serves what it asks for.
 func (s *session) serveRequest(ctx context.Context, req *link.Request, resp *relay.Responder) {
-	limit := s.limit()
-	s.inside.Add(1)
-	end := s.box.run(ctx, limit, req, resp)
-	s.inside.Add(-1)
-	end.Load = s.box.gate.Inside()
+	limit := s.inFlightLimit()
+	s.inFlight.Add(1)
+	end := s.box.forwardRequest(ctx, limit, req, resp)
+	s.inFlight.Add(-1)
+	end.Load = s.box.gate.InFlight()
 	if !s.box.cfg.Checks.Check(end.Outcome != link.OutcomeNotRun || !resp.Begun(), invariant.NotRunDidNotRun,
 		"answer that had begun would end as not run: %s", end.Reason) {
 		end.Outcome = link.OutcomeUnknown
@@ -173,57 +172,57 @@
 	}
 }
 
-func (b *Box) run(ctx context.Context, limit int, req *link.Request, resp *relay.Responder) link.End {
-	offer, reason, ok := b.gate.Enter(limit)
+func (b *Box) forwardRequest(ctx context.Context, limit int, req *link.Request, resp *relay.Responder) link.End {
+	served, reason, ok := b.gate.Acquire(limit)
 	if !ok {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: reason}
 	}
-	defer b.gate.Leave()
+	defer b.gate.Release()
 	b.pacer.Live(len(req.Body))
-	if b.rest.on(time.Now()) {
+	if b.backoff.active(time.Now()) {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: "the upstream rests"}
 	}
-	if b.loader.stopped(b.follower.Config()) {
+	if b.loader.isStopped(b.follower.Config()) {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: "the box is stopped"}
 	}
 	if req.Service != b.cfg.Service {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: "the box does not offer the service"}
 	}
-	if req.Digest != "" && req.Digest != offer.Digest {
+	if req.Digest != "" && req.Digest != served.Digest {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: "the box serves another version"}
 	}
 	header := http.Header(req.Header)
 	ctx, span := tracing.Start(tracing.Extract(ctx, header), "box", attribute.String("box", b.cfg.ID))
 	defer span.End()
-	ctx, call := tracing.Start(ctx, "upstream")
-	defer call.End()
+	ctx, upstreamSpan := tracing.Start(ctx, "upstream")
+	defer upstreamSpan.End()
 	tracing.Inject(ctx, header)
-	answer, err := b.loader.client.Do(ctx, req.Method, req.Path, header, req.Body)
+	upstreamResp, err := b.loader.client.Do(ctx, req.Method, req.Path, header, req.Body)
 	if err != nil {
-		return b.failed(err)
+		return b.callFailed(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	b.noteRest(answer)
-	if got := answer.Header.Get(digestHeader); got != "" && got != offer.Whole {
-		b.loader.suspect()
+	defer func() { _ = upstreamResp.Body.Close() }()
+	b.applyRetryAfter(upstreamResp)
+	if got := upstreamResp.Header.Get(digestHeader); got != "" && got != served.Whole {
+		b.loader.markStateStale()
 		return link.End{Outcome: link.OutcomeUnknown, Reason: "the upstream answered with other weights"}
 	}
-	return b.answer(resp, answer, offer)
+	return b.relayResponse(resp, upstreamResp, served)
 }
 
-// answer relays the upstream's answer.
-func (b *Box) answer(resp *relay.Responder, answer *http.Response, offer Offer) link.End {
+// relayResponse relays the upstream's response.
+func (b *Box) relayResponse(resp *relay.Responder, upstreamResp *http.Response, served ServedVersion) link.End {
 	head := link.Head{
-		Status: answer.StatusCode, Header: upstream.CleanHeader(answer.Header),
-		Version: offer.Version, Digest: offer.Digest,
+		Status: upstreamResp.StatusCode, Header: upstream.CleanHeader(upstreamResp.Header),
+		Version: served.Version, Digest: served.Digest,
 	}
 	if err := resp.Head(head); err != nil {
 		return link.End{Outcome: link.OutcomeUnknown, Reason: err.Error()}
 	}
-	stream := upstream.IsStream(answer.Header)
+	stream := upstream.IsStream(upstreamResp.Header)
 	for {
-		buf := make([]byte, bodyPiece)
-		n, err := answer.Body.Read(buf)
+		buf := make([]byte, bodyBufferBytes)
+		n, err := upstreamResp.Body.Read(buf)
 		if n > 0 && stream {
 			resp.Stream()
 		}
@@ -237,20 +236,20 @@
 			break
 		}
 		if err != nil {
-			return b.lost("the upstream broke off: " + err.Error())
+			return b.connectionLost("the upstream broke off: " + err.Error())
 		}
 	}
 	now, _ := b.gate.State()
-	b.cfg.Checks.Check(now == offer, invariant.OneVersion, "answer began with %s and ended with %s", offer.Digest, now.Digest)
+	b.cfg.Checks.Check(now == served, invariant.OneVersion, "answer began with %s and ended with %s", served.Digest, now.Digest)
 	return link.End{Outcome: link.OutcomeRan, Digest: now.Digest}
 }
 
-// failed says what a failed call to the upstream amounts to.
-func (b *Box) failed(err error) link.End {
+// callFailed returns the end of a request whose call to the upstream failed.
+func (b *Box) callFailed(err error) link.End {
 	var unsent *upstream.UnsentError
 	if errors.As(err, &unsent) {
-		b.loader.suspect()
+		b.loader.markStateStale()
 		return link.End{Outcome: link.OutcomeNotRun, Reason: err.Error()}
 	}
-	return b.lost(err.Error())
+	return b.connectionLost(err.Error())
 }
--- a/box/unlisted_test.go
+++ b/box/unlisted_test.go
@@ -11,9 +11,9 @@
 	"github.com/coralstair/coralstair/swarm"
 )
 
-// slowList is a list of live boxes that answers after a while, or never.
+// slowList returns the list of live boxes after a delay, or an error if it has no members.
 type slowList struct {
-	after   time.Duration
+	delay   time.Duration
 	members []membership.Member
 }
 
@@ -21,17 +21,17 @@
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(l.after):
+	case <-time.After(l.delay):
 	}
 	if l.members == nil {
-		return nil, errors.New("away")
+		return nil, errors.New("unreachable")
 	}
 	return l.members, nil
 }
 
-// TestBoxKnowsWhoTakesPartBeforeItDraws: until the list of live boxes has been read a box does not take itself for the only one,
-// which would draw all chunks at once; when the list stays away it does after a while.
-func TestBoxKnowsWhoTakesPartBeforeItDraws(t *testing.T) {
+// TestBoxWaitsForListBeforeDownloading checks that a box takes itself for the only one, which would download all chunks, only
+// after the list of live boxes was read or did not come for a while.
+func TestBoxWaitsForListBeforeDownloading(t *testing.T) {
 	self := swarm.Member{ID: "b", Site: "s"}
 	listed := []membership.Member{{ID: "a", Role: membership.RoleBox, Site: "s"}, {ID: "b", Role: membership.RoleBox, Site: "s"}}
 	tests := map[string]struct {
@@ -39,11 +39,11 @@
 		after time.Duration
 		want  int
 	}{
-		"not read yet":         {slowList{after: time.Second, members: listed}, 500 * time.Millisecond, 0},
-		"read late":            {slowList{after: time.Second, members: listed}, 1500 * time.Millisecond, 2},
-		"away for a while":     {slowList{after: time.Second}, 2500 * time.Millisecond, 0},
-		"away for longer":      {slowList{after: time.Second}, 3500 * time.Millisecond, 1},
-		"read, and names none": {slowList{members: []membership.Member{}}, 500 * time.Millisecond, 1},
+		"not read yet":       {slowList{delay: time.Second, members: listed}, 500 * time.Millisecond, 0},
+		"read late":          {slowList{delay: time.Second, members: listed}, 1500 * time.Millisecond, 2},
+		"unreachable, early": {slowList{delay: time.Second}, 2500 * time.Millisecond, 0},
+		"unreachable, late":  {slowList{delay: time.Second}, 3500 * time.Millisecond, 1},
+		"read, but empty":    {slowList{members: []membership.Member{}}, 500 * time.Millisecond, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -54,7 +54,7 @@
 				go func() { defer close(done); _ = b.members.Serve(ctx) }()
 				time.Sleep(test.after)
 				if members := b.swarmMembers(); len(members) != test.want {
-					t.Errorf("%d boxes take part, want %d", len(members), test.want)
+					t.Errorf("%d members, want %d", len(members), test.want)
 				}
 				cancel()
 				<-done
