--- a/transfer/doc.go
+++ b/transfer/doc.go
@@ -1,4 +1,3 @@
-// Package transfer runs the decisions of package swarm on real links: it asks
-// other boxes for chunks, gives them chunks, draws from the origin under
-// permits, and verifies everything before it is held.
+// Package transfer carries out the decisions of package swarm: it exchanges chunks with other boxes, downloads chunks from
+// the origin under permits, and verifies each before it is stored.
 package transfer
--- a/transfer/peer.go
+++ b/transfer/peer.go
@@ -16,65 +16,66 @@
 }
 
 const (
-	outboxSize = 256
-	wantsSize  = maxWaiting
+	outboxSize       = 256
+	requestQueueSize = maxQueuedRequests
 )
 
-// Peer is another box to which a link is up.
+// Peer is another box to which a link is open.
 type Peer struct {
-	t      *Transfer
-	member swarm.Member
-	sender Sender
-	outbox chan link.Message
-	wants  chan *link.Want
-	cancel context.CancelFunc
+	t        *Transfer
+	member   swarm.Member
+	sender   Sender
+	outbox   chan link.Message
+	requests chan *link.Want
+	cancel   context.CancelFunc
 
-	// The rest is guarded by the transfer's mutex: chunks to tell of, for which target, and what the other told.
-	fresh  []uint32
-	joined uint64
-	theirs theirs
+	// The fields below are guarded by the transfer's mutex. unannounced are the chunks still to be announced to this peer,
+	// announcedTarget the target whose chunks are announced.
+	unannounced     []uint32
+	announcedTarget uint64
+	remote          remoteChunks
 }
 
-// theirs is what the other box told that it holds of its own target, which this box may learn of later.
-type theirs struct {
+// remoteChunks are the chunks that the peer announced for its own target, which may become this box's target later.
+type remoteChunks struct {
 	manifest uint64
 	chunks   []uint32
 }
 
-// AddPeer takes a link to another box and starts to use it; the caller hands what it receives to Handle.
+// AddPeer starts to use a link to another box; the caller passes received messages to Handle.
 func (t *Transfer) AddPeer(ctx context.Context, member swarm.Member, sender Sender) *Peer {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &Peer{
 		t: t, member: member, sender: sender, cancel: cancel,
-		outbox: make(chan link.Message, outboxSize),
-		wants:  make(chan *link.Want, wantsSize),
+		outbox:   make(chan link.Message, outboxSize),
+		requests: make(chan *link.Want, requestQueueSize),
 	}
-	go p.send(ctx)
-	go p.give(ctx)
+	go p.sendOutbox(ctx)
+	go p.serveRequests(ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if old := t.peers[member.ID]; old != nil {
-		old.leave()
+		old.detach()
 	}
 	t.peers[member.ID] = p
 	if t.current != nil && t.current.node != nil {
-		p.join(t.current)
+		p.announceAll(t.current)
 	}
 	return p
 }
 
-// RemovePeer ends the use of a link.
+// RemovePeer stops using a link.
 func (t *Transfer) RemovePeer(p *Peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p.cancel()
 	if t.peers[p.member.ID] == p {
-		p.leave()
+		p.detach()
 		delete(t.peers, p.member.ID)
 	}
 }
 
-// Handle takes one message that came over the link; others than those of a transfer are passed over.
+// Handle processes a received message; it ignores messages that are not part of a transfer.
 func (p *Peer) Handle(msg link.Message) {
 	switch m := msg.(type) {
 	case *link.Have:
@@ -88,7 +89,7 @@
 	}
 }
 
-// enqueue sends a message without waiting; ok is false when too many wait already.
+// enqueue queues a message without waiting; ok is false when the outbox is full.
 func (p *Peer) enqueue(msg link.Message) (ok bool) {
 	select {
 	case p.outbox <- msg:
@@ -98,35 +99,35 @@
 	}
 }
 
-// give sends the chunks that the other box asked for, one after another.
-func (p *Peer) give(ctx context.Context) {
+// serveRequests sends the requested chunks one after another.
+func (p *Peer) serveRequests(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case want := <-p.wants:
-			p.giveOne(ctx, want)
+		case req := <-p.requests:
+			p.sendChunk(ctx, req)
 		}
 	}
 }
 
-func (p *Peer) giveOne(ctx context.Context, want *link.Want) {
-	defer p.t.waiting.Add(-1)
+func (p *Peer) sendChunk(ctx context.Context, req *link.Want) {
+	defer p.t.queuedRequests.Add(-1)
 	select {
 	case <-ctx.Done():
 		return
-	case p.t.gives <- struct{}{}:
+	case p.t.uploadSlots <- struct{}{}:
 	}
-	defer func() { <-p.t.gives }()
-	data, ok := p.t.chunk(want.Manifest, want.Chunk)
+	defer func() { <-p.t.uploadSlots }()
+	data, ok := p.t.chunk(req.Manifest, req.Chunk)
 	if !ok {
-		p.enqueue(&link.Decline{Manifest: want.Manifest, Chunk: want.Chunk})
+		p.enqueue(&link.Decline{Manifest: req.Manifest, Chunk: req.Chunk})
 		return
 	}
-	if p.sender.Send(ctx, &link.Chunk{Manifest: want.Manifest, Chunk: want.Chunk, Body: data}) == nil {
+	if p.sender.Send(ctx, &link.Chunk{Manifest: req.Manifest, Chunk: req.Chunk, Body: data}) == nil {
 		p.t.mu.Lock()
 		p.t.progress.GivenBytes += int64(len(data))
-		p.t.given++
+		p.t.sent++
 		p.t.mu.Unlock()
 	}
 }
@@ -136,13 +137,13 @@
 	r := p.t.current
 	known := r != nil && r.node != nil && r.target.Short() == m.Manifest && int(m.Chunk) < len(r.manifest.Chunks)
 	if !known {
-		p.t.wasted += int64(len(m.Body))
+		p.t.discarded += int64(len(m.Body))
 	}
 	p.t.mu.Unlock()
 	if !known {
 		return
 	}
-	err := p.t.take(r, int(m.Chunk), p.member.ID, m.Body)
+	err := p.t.acceptChunk(r, int(m.Chunk), p.member.ID, m.Body)
 	if err == nil {
 		return
 	}
@@ -153,7 +154,7 @@
 	}
 	p.t.mu.Lock()
 	defer p.t.mu.Unlock()
-	p.t.progress.Rejected += rejects(err)
+	p.t.progress.Rejected += corruptCount(err)
 	r.node.Failed(int(m.Chunk), p.member.ID, fault, time.Now())
 	p.t.wakeUp()
 }
@@ -171,10 +172,10 @@
 func (p *Peer) handleHave(m *link.Have) {
 	p.t.mu.Lock()
 	defer p.t.mu.Unlock()
-	if m.Reset || p.theirs.manifest != m.Manifest {
-		p.theirs = theirs{manifest: m.Manifest}
+	if m.Reset || p.remote.manifest != m.Manifest {
+		p.remote = remoteChunks{manifest: m.Manifest}
 	}
-	p.theirs.chunks = append(p.theirs.chunks, m.Chunks...)
+	p.remote.chunks = append(p.remote.chunks, m.Chunks...)
 	r := p.t.current
 	if r == nil || r.node == nil || r.target.Short() != m.Manifest {
 		return
@@ -185,37 +186,37 @@
 }
 
 func (p *Peer) handleWant(m *link.Want) {
-	if p.t.waiting.Add(1) <= maxWaiting {
+	if p.t.queuedRequests.Add(1) <= maxQueuedRequests {
 		select {
-		case p.wants <- m:
+		case p.requests <- m:
 			return
 		default:
 		}
 	}
-	p.t.waiting.Add(-1)
+	p.t.queuedRequests.Add(-1)
 	p.enqueue(&link.Decline{Manifest: m.Manifest, Chunk: m.Chunk})
 }
 
-// join tells the other box all that this one holds of a run's target; the transfer's mutex is held.
-func (p *Peer) join(r *run) {
+// announceAll announces all chunks held of a run's target; the transfer's mutex is held.
+func (p *Peer) announceAll(r *run) {
 	r.node.Peer(p.member)
-	if p.theirs.manifest == r.target.Short() {
-		r.node.PeerHas(p.member.ID, true, p.theirs.chunks, time.Now())
+	if p.remote.manifest == r.target.Short() {
+		r.node.PeerHas(p.member.ID, true, p.remote.chunks, time.Now())
 	}
-	p.fresh = nil
-	p.joined = r.target.Short()
+	p.unannounced = nil
+	p.announcedTarget = r.target.Short()
 	p.enqueue(&link.Have{Manifest: r.target.Short(), Reset: true, Chunks: r.held()})
 }
 
-// leave takes the box out of the current run; the transfer's mutex is held.
-func (p *Peer) leave() {
+// detach stops sending and removes the peer from the current run; the transfer's mutex is held.
+func (p *Peer) detach() {
 	p.cancel()
 	if p.t.current != nil && p.t.current.node != nil {
 		p.t.current.node.PeerGone(p.member.ID)
 	}
 }
 
-func (p *Peer) send(ctx context.Context) {
+func (p *Peer) sendOutbox(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -228,17 +229,17 @@
 	}
 }
 
-// tell sends the chunks that came since the last time; the transfer's mutex is held.
-func (p *Peer) tell(target uint64, waiting, given int) {
-	if len(p.fresh) == 0 || p.joined != target {
+// announceNew announces the chunks that arrived since the last announcement; the transfer's mutex is held.
+func (p *Peer) announceNew(target uint64, queued, sent int) {
+	if len(p.unannounced) == 0 || p.announcedTarget != target {
 		return
 	}
-	if p.enqueue(&link.Have{Manifest: target, Chunks: p.fresh, Queue: waiting, Given: given}) {
-		p.fresh = nil
+	if p.enqueue(&link.Have{Manifest: target, Chunks: p.unannounced, Queue: queued, Given: sent}) {
+		p.unannounced = nil
 	}
 }
 
-// chunk returns a chunk that this box holds and can give.
+// chunk returns a stored chunk of any known manifest.
 func (t *Transfer) chunk(short uint64, chunk uint32) ([]byte, bool) {
 	t.mu.Lock()
 	var known weights.Manifest
--- a/transfer/run.go
+++ b/transfer/run.go
@@ -13,7 +13,7 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// run is the transfer of one target; its fields are guarded by the transfer's mutex once it has started.
+// run is the transfer of one target; once started, its fields are guarded by the transfer's mutex.
 type run struct {
 	target   weights.Digest
 	keep     weights.Digest
@@ -24,14 +24,14 @@
 	node     *swarm.Node
 	indices  map[weights.Digest][]int
 
-	permits   map[int]bool
-	drawn     map[int]bool
-	verifying bool
-	verified  bool
-	err       error
+	permits    map[int]bool
+	permitUsed map[int]bool
+	verifying  bool
+	verified   bool
+	err        error
 }
 
-// start computes the order and the node from what the store holds already.
+// start creates the order and the node, given the chunks that are already stored.
 func (r *run) start(manifest weights.Manifest, cfg Config, members []swarm.Member) {
 	r.manifest = manifest
 	r.indices = make(map[weights.Digest][]int, len(manifest.Chunks))
@@ -68,9 +68,9 @@
 	return held
 }
 
-// draw fetches one chunk from the origin under a permit for its group.
-func (t *Transfer) draw(r *run, action swarm.Action) {
-	if !t.permitted(r, action) {
+// download gets one chunk from the origin under a permit for its group.
+func (t *Transfer) download(r *run, action swarm.Action) {
+	if !t.acquirePermit(r, action) {
 		t.mu.Lock()
 		r.node.DrawFailed(action.Chunk, time.Now())
 		t.mu.Unlock()
@@ -83,26 +83,26 @@
 		t.mu.Lock()
 		t.progress.OriginBytes += int64(len(data))
 		t.mu.Unlock()
-		err = t.take(r, action.Chunk, "", data)
+		err = t.acceptChunk(r, action.Chunk, "", data)
 	}
 	if err == nil || r.ctx.Err() != nil {
 		return
 	}
-	log.WithError(err).WithField("chunk", action.Chunk).Warn("transfer: draw failed")
+	log.WithError(err).WithField("chunk", action.Chunk).Warn("transfer: download from the origin failed")
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.progress.Rejected += rejects(err)
+	t.progress.Rejected += corruptCount(err)
 	r.node.DrawFailed(action.Chunk, time.Now())
 }
 
-// permitted makes sure of a permit for the chunk's group. A permit covers each chunk once. While the table is
-// out, rank stands in for it: the first ranks, which waited their turn, may draw as many times as there are permits.
-func (t *Transfer) permitted(r *run, action swarm.Action) bool {
+// acquirePermit makes sure of a permit for the chunk's group; a permit covers each chunk once. While the table is
+// unreachable, rank replaces the permit: as many boxes may download a chunk as there are permits, lowest ranks first.
+func (t *Transfer) acquirePermit(r *run, action swarm.Action) bool {
 	t.mu.Lock()
 	group := r.order.Group(action.Chunk)
-	held := r.permits[group] && !r.drawn[action.Chunk]
+	held := r.permits[group] && !r.permitUsed[action.Chunk]
 	if held {
-		r.drawn[action.Chunk] = true
+		r.permitUsed[action.Chunk] = true
 	}
 	t.mu.Unlock()
 	if held {
@@ -112,18 +112,18 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
-		ok = action.Rank < swarm.MaxPermits && !r.drawn[action.Chunk]
+		ok = action.Rank < swarm.MaxPermits && !r.permitUsed[action.Chunk]
 	}
 	if !ok {
 		return false
 	}
 	r.permits[group] = true
-	r.drawn[action.Chunk] = true
+	r.permitUsed[action.Chunk] = true
 	return true
 }
 
-// take verifies a chunk that came and holds it; from is empty for the origin.
-func (t *Transfer) take(r *run, chunk int, from string, data []byte) error {
+// acceptChunk verifies and stores a received chunk; from is empty for the origin.
+func (t *Transfer) acceptChunk(r *run, chunk int, from string, data []byte) error {
 	digest := r.manifest.Chunks[chunk]
 	if err := t.cfg.Store.Put(digest, data); err != nil {
 		return err
@@ -133,15 +133,15 @@
 	if t.current != r {
 		return nil
 	}
-	fresh := false
+	isNew := false
 	for _, i := range r.indices[digest] {
 		if r.node.Got(i, from, time.Now()) {
-			fresh = true
-			t.spread(r, uint32(i))
+			isNew = true
+			t.queueAnnouncement(r, uint32(i))
 		}
 	}
-	if !fresh {
-		t.wasted += int64(len(data))
+	if !isNew {
+		t.discarded += int64(len(data))
 	}
 	if from != "" {
 		t.progress.PeerBytes += int64(len(data))
@@ -149,22 +149,22 @@
 			t.progress.CrossBytes += int64(len(data))
 		}
 	}
-	t.finish(r)
+	t.verifyIfComplete(r)
 	t.wakeUp()
 	return nil
 }
 
-// spread notes a new chunk for all neighbours that are not known to hold it; mu is held.
-func (t *Transfer) spread(r *run, chunk uint32) {
+// queueAnnouncement queues the announcement of a new chunk to all peers not known to hold it; mu is held.
+func (t *Transfer) queueAnnouncement(r *run, chunk uint32) {
 	for id, p := range t.peers {
 		if !r.node.PeerHolds(id, int(chunk)) {
-			p.fresh = append(p.fresh, chunk)
+			p.unannounced = append(p.unannounced, chunk)
 		}
 	}
 }
 
-// rejects counts an error that is a failed digest.
-func rejects(err error) int {
+// corruptCount returns 1 if the error is a digest mismatch, else 0.
+func corruptCount(err error) int {
 	var mismatch *weights.MismatchError
 	if errors.As(err, &mismatch) {
 		return 1
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -15,17 +15,17 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// Origin is where published manifests and chunks are kept.
+// Origin stores the published manifests and chunks.
 type Origin interface {
 	Get(ctx context.Context, key string) ([]byte, error)
 }
 
-// Permits hands out permits to draw a chunk group from the origin.
+// Permits grants permits to download a chunk group from the origin.
 type Permits interface {
 	Take(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error)
 }
 
-// Config is what a transfer works with.
+// Config holds a transfer's settings and the services that it uses.
 type Config struct {
 	Params  swarm.Params
 	Store   *weights.Store
@@ -34,20 +34,20 @@
 }
 
 const (
-	tick          = 50 * time.Millisecond
-	manifestRetry = time.Second
-	// givesAtOnce is how many chunks a box gives at a time, each on another link.
-	givesAtOnce = 4
-	// maxWaiting is how many asks may wait at a box before it declines.
-	maxWaiting = 16
+	stepInterval       = 50 * time.Millisecond
+	manifestRetryDelay = time.Second
+	// maxUploads is how many chunks a box sends at a time, each on another link.
+	maxUploads = 4
+	// maxQueuedRequests is how many chunk requests may be queued at a box before it declines.
+	maxQueuedRequests = 16
 )
 
-// Transfer is one box's part in the spread of its fleet's weights.
+// Transfer is one box's part in distributing its fleet's weights.
 type Transfer struct {
-	cfg     Config
-	gives   chan struct{}
-	wake    chan struct{}
-	waiting atomic.Int64
+	cfg            Config
+	uploadSlots    chan struct{}
+	wake           chan struct{}
+	queuedRequests atomic.Int64
 
 	mu        sync.Mutex
 	members   []swarm.Member
@@ -56,20 +56,20 @@
 	current   *run
 	changed   chan struct{}
 	progress  link.RolloutProgress
-	wasted    int64
-	// given counts the chunks given since the target was set.
-	given int
+	discarded int64
+	// sent counts the chunks sent since the target was set.
+	sent int
 }
 
 // New returns a transfer that has no target yet.
 func New(cfg Config) *Transfer {
 	return &Transfer{
-		cfg:       cfg,
-		gives:     make(chan struct{}, givesAtOnce),
-		wake:      make(chan struct{}, 1),
-		peers:     make(map[string]*Peer),
-		manifests: make(map[weights.Digest]weights.Manifest),
-		changed:   make(chan struct{}),
+		cfg:         cfg,
+		uploadSlots: make(chan struct{}, maxUploads),
+		wake:        make(chan struct{}, 1),
+		peers:       make(map[string]*Peer),
+		manifests:   make(map[weights.Digest]weights.Manifest),
+		changed:     make(chan struct{}),
 	}
 }
 
@@ -80,7 +80,7 @@
 	return t.changed
 }
 
-// Complete returns the manifest of the target once all of it is held and verified.
+// Complete returns the manifest of the target; ok is true once all of it is held and verified.
 // The error says why the target can never be complete.
 func (t *Transfer) Complete(target weights.Digest) (manifest weights.Manifest, ok bool, err error) {
 	t.mu.Lock()
@@ -99,7 +99,7 @@
 	return manifest, ok
 }
 
-// Progress returns the counts of the transfer so far.
+// Progress returns the transfer's counters.
 func (t *Transfer) Progress() link.RolloutProgress {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,24 +111,24 @@
 	return progress
 }
 
-// Serve decides and acts until ctx ends.
+// Serve runs the transfer until ctx ends.
 func (t *Transfer) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(stepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			t.stop()
+			t.cancelRun()
 			return ctx.Err()
 		case <-ticker.C:
-			t.flush()
+			t.announceChunks()
 		case <-t.wake:
 		}
 		t.step()
 	}
 }
 
-// SetMembers takes the boxes that take part.
+// SetMembers sets the boxes that take part.
 func (t *Transfer) SetMembers(members []swarm.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -142,7 +142,7 @@
 	t.wakeUp()
 }
 
-// SetPrefer takes what the fleet prefers.
+// SetPrefer sets what the fleet prefers.
 func (t *Transfer) SetPrefer(prefer fleet.Preference) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,8 +152,8 @@
 	}
 }
 
-// SetTarget makes a manifest the target: transfers of any other stop at once, chunks shared with it are kept.
-// The chunks of keep, the version being served, are held as well while both fit into memory.
+// SetTarget starts the transfer of a manifest and stops any other; chunks that both share are kept.
+// The chunks of keep, the version being served, are kept too while both fit into memory.
 func (t *Transfer) SetTarget(target, keep weights.Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,9 +164,9 @@
 		t.current.cancel()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &run{target: target, keep: keep, ctx: ctx, cancel: cancel, permits: make(map[int]bool), drawn: make(map[int]bool)}
+	r := &run{target: target, keep: keep, ctx: ctx, cancel: cancel, permits: make(map[int]bool), permitUsed: make(map[int]bool)}
 	t.current = r
-	go t.open(r)
+	go t.fetchAndStart(r)
 }
 
 // Wanted returns the boxes to which the transfer needs links now.
@@ -180,32 +180,32 @@
 	return wanted
 }
 
-// Wasted returns the bytes of chunks that came but were not needed.
+// Wasted returns the bytes of received chunks that were not needed.
 func (t *Transfer) Wasted() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.wasted
+	return t.discarded
 }
 
-// announce tells all waiters that a target is complete or has failed; mu is held.
-func (t *Transfer) announce() {
+// notifyChanged wakes all waiters once a target is complete or has failed; mu is held.
+func (t *Transfer) notifyChanged() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// open fetches the manifest of a run's target, as often as it takes, and starts the run.
-func (t *Transfer) open(r *run) {
+// fetchAndStart fetches the manifest of a run's target, with retries, and starts the run.
+func (t *Transfer) fetchAndStart(r *run) {
 	for {
 		manifest, err := t.fetchManifest(r)
 		if err == nil {
-			t.begin(r, manifest)
+			t.startRun(r, manifest)
 			return
 		}
 		log.WithError(err).WithField("manifest", r.target.String()).Warn("transfer: manifest not fetched")
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-time.After(manifestRetry):
+		case <-time.After(manifestRetryDelay):
 		}
 	}
 }
@@ -221,33 +221,33 @@
 	return weights.ParseManifest(body, r.target)
 }
 
-// begin starts the chunks of a run, if it is still the current one.
-func (t *Transfer) begin(r *run, manifest weights.Manifest) {
+// startRun starts the transfer of a run's chunks if the run is still the current one.
+func (t *Transfer) startRun(r *run, manifest weights.Manifest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.current != r {
 		return
 	}
 	t.manifests[r.target] = manifest
-	t.makeRoom(r, manifest)
+	t.freeSpace(r, manifest)
 	if err := t.cfg.Store.Fits(manifest); err != nil {
 		r.err = err
-		t.announce()
+		t.notifyChanged()
 		return
 	}
 	r.start(manifest, t.cfg, t.members)
 	t.progress = link.RolloutProgress{}
-	t.given = 0
+	t.sent = 0
 	for _, p := range t.peers {
-		p.join(r)
+		p.announceAll(r)
 	}
-	t.finish(r)
+	t.verifyIfComplete(r)
 	t.wakeUp()
 }
 
-// makeRoom drops the chunks that neither the target nor the version being served needs; when both do not fit,
-// those of the served version go too, since its upstream has its own copy.
-func (t *Transfer) makeRoom(r *run, manifest weights.Manifest) {
+// freeSpace drops chunks that neither the target nor the served version needs. If both do not fit, the served version's
+// chunks are dropped too, since its upstream has its own copy.
+func (t *Transfer) freeSpace(r *run, manifest weights.Manifest) {
 	kept := []weights.Manifest{manifest}
 	if served, ok := t.manifests[r.keep]; ok {
 		kept = append(kept, served)
@@ -264,8 +264,8 @@
 	}
 }
 
-// finish verifies the whole once all chunks are held; mu is held.
-func (t *Transfer) finish(r *run) {
+// verifyIfComplete verifies the whole weights once all chunks are held; mu is held.
+func (t *Transfer) verifyIfComplete(r *run) {
 	if r.verified || r.verifying || r.node == nil || !r.node.Complete() {
 		return
 	}
@@ -276,24 +276,24 @@
 		defer t.mu.Unlock()
 		r.err = err
 		r.verified = err == nil
-		t.announce()
+		t.notifyChanged()
 	}()
 }
 
-// flush tells the neighbours of chunks that came since the last time.
-func (t *Transfer) flush() {
+// announceChunks announces to peers the chunks that arrived since the last call.
+func (t *Transfer) announceChunks() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.current == nil || t.current.node == nil {
 		return
 	}
-	waiting := int(t.waiting.Load())
+	queued := int(t.queuedRequests.Load())
 	for _, p := range t.peers {
-		p.tell(t.current.target.Short(), waiting, t.given)
+		p.announceNew(t.current.target.Short(), queued, t.sent)
 	}
 }
 
-// step starts what the node decides to do now.
+// step starts the actions that the node chooses now.
 func (t *Transfer) step() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -303,7 +303,7 @@
 	}
 	for _, action := range r.node.Next(time.Now()) {
 		if action.Draw {
-			go t.draw(r, action)
+			go t.download(r, action)
 			continue
 		}
 		p := t.peers[action.Peer]
@@ -313,7 +313,7 @@
 	}
 }
 
-func (t *Transfer) stop() {
+func (t *Transfer) cancelRun() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.current != nil {
