--- a/weights/digest.go
+++ b/weights/digest.go
@@ -20,7 +20,7 @@
 	return sha256.Sum256(data)
 }
 
-// ParseDigest reads a digest written as sha256: and 64 hexadecimal digits.
+// ParseDigest parses "sha256:" followed by 64 hexadecimal digits.
 func ParseDigest(text string) (Digest, error) {
 	var digest Digest
 	digits, ok := strings.CutPrefix(text, digestPrefix)
@@ -33,12 +33,12 @@
 	return digest, nil
 }
 
-// Hex returns the digest's hexadecimal digits alone.
+// Hex returns the digest's hexadecimal digits without the prefix.
 func (d Digest) Hex() string {
 	return hex.EncodeToString(d[:])
 }
 
-// Short returns the first eight bytes of the digest, to name it where it is verified otherwise.
+// Short returns the first eight bytes of the digest, an abbreviation for messages whose data is verified separately.
 func (d Digest) Short() uint64 {
 	return binary.BigEndian.Uint64(d[:])
 }
@@ -48,7 +48,7 @@
 	return d == Digest{}
 }
 
-// String returns the digest as operators write it.
+// String returns the digest in the form that ParseDigest accepts.
 func (d Digest) String() string {
 	return digestPrefix + d.Hex()
 }
--- a/weights/doc.go
+++ b/weights/doc.go
@@ -1,3 +1,3 @@
-// Package weights describes a model's weights: digests, the manifest that lists
-// the chunks, the memory that holds chunks on a box, and their publication.
+// Package weights handles a model's weights: digests, the manifest that lists the chunks, the in-memory store of chunks,
+// and publication.
 package weights
--- a/weights/errors.go
+++ b/weights/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DigestSyntaxError says that a text is no digest.
+// DigestSyntaxError says that a text is not a digest.
 type DigestSyntaxError struct{ Text string }
 
 // Error names the text.
@@ -10,7 +10,7 @@
 	return fmt.Sprintf("%q is not a digest: want sha256: and 64 hexadecimal digits", e.Text)
 }
 
-// MismatchError says that data does not have the digest it was fetched for.
+// MismatchError says that data does not have the expected digest.
 type MismatchError struct {
 	What      string
 	Want, Got Digest
@@ -38,7 +38,7 @@
 // Unwrap returns the cause.
 func (e *ManifestError) Unwrap() error { return e.Err }
 
-// LimitError says that weights do not fit into the memory set aside for them.
+// LimitError says that weights do not fit into the store's limit; sizes are in bytes.
 type LimitError struct{ Limit, Held, Want int64 }
 
 // Error gives the sizes in bytes.
@@ -46,13 +46,13 @@
 	return fmt.Sprintf("weights of %d bytes do not fit: %d of %d bytes are held", e.Want, e.Held, e.Limit)
 }
 
-// NameTakenError says that a published name already stands for other weights.
+// NameTakenError says that a published name is bound to other weights.
 type NameTakenError struct {
 	Name      string
 	Want, Got string
 }
 
-// Error names the name and what it stands for.
+// Error names the name and the digests.
 func (e *NameTakenError) Error() string {
 	return fmt.Sprintf("name %q already stands for %s, not %s", e.Name, e.Got, e.Want)
 }
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -24,7 +24,7 @@
 	Chunks    []Digest `cbor:"4,keyasint"`
 }
 
-// ParseManifest reads a manifest and checks it against the digest that an operator declared.
+// ParseManifest decodes a manifest, after checking it against the digest that an operator declared.
 func ParseManifest(body []byte, want Digest) (Manifest, error) {
 	if got := DigestOf(body); got != want {
 		return Manifest{}, &MismatchError{What: "manifest", Want: want, Got: got}
@@ -39,7 +39,7 @@
 	return manifest, nil
 }
 
-// ReadManifest computes the manifest of the weights read from r and hands each chunk to visit, which may be nil.
+// ReadManifest computes the manifest of the weights read from r and passes each chunk to visit, which may be nil.
 func ReadManifest(r io.Reader, chunkSize int64, visit func(Digest, []byte) error) (Manifest, error) {
 	manifest := Manifest{ChunkSize: chunkSize}
 	whole := sha256.New()
--- a/weights/publish.go
+++ b/weights/publish.go
@@ -6,9 +6,9 @@
 	"io"
 )
 
-// Objects is where published weights are kept.
+// Objects is the object store of published weights.
 type Objects interface {
-	// PutNew creates an object and reports by created whether it was not there before.
+	// PutNew creates an object; created is false if it existed already.
 	PutNew(ctx context.Context, key string, body []byte) (created bool, err error)
 	// Get returns a whole object.
 	Get(ctx context.Context, key string) ([]byte, error)
@@ -23,8 +23,8 @@
 // NameKey returns the object key that binds a published name to its manifest.
 func NameKey(name string) string { return "names/" + name }
 
-// Publish stores the weights read from r under name and returns the manifest's digest.
-// Chunks that are already stored are not sent again, so that a broken-off publication can be run again.
+// Publish stores the weights read from r under name and returns the manifest and its digest.
+// Chunks that are already stored are not sent again, so an interrupted publication can be repeated.
 func Publish(ctx context.Context, objects Objects, name string, r io.Reader, chunkSize int64) (Digest, Manifest, error) {
 	manifest, err := ReadManifest(r, chunkSize, func(digest Digest, data []byte) error {
 		_, err := objects.PutNew(ctx, ChunkKey(digest), data)
--- a/weights/store.go
+++ b/weights/store.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Store holds verified chunks in memory, by digest; a zero Store is empty and without limit.
+// Store holds verified chunks in memory, by digest; a zero Store is empty and has no limit.
 type Store struct {
 	mu     sync.RWMutex
 	limit  int64
@@ -13,7 +13,7 @@
 	chunks map[Digest][]byte
 }
 
-// NewStore returns an empty store that takes at most limit bytes; 0 means no limit.
+// NewStore returns an empty store that holds at most limit bytes; 0 means no limit.
 func NewStore(limit int64) *Store {
 	return &Store{limit: limit}
 }
@@ -26,7 +26,7 @@
 	return data, ok
 }
 
-// Fits reports by a LimitError whether the chunks of a manifest that are not yet held would not fit.
+// Fits returns a LimitError if the chunks of a manifest that are not held yet would exceed the limit.
 func (s *Store) Fits(m Manifest) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Held returns the bytes held.
+// Held returns the number of bytes held.
 func (s *Store) Held() int64 {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -68,7 +68,7 @@
 	return missing
 }
 
-// Put verifies a chunk and holds it; the store keeps data, which must not change afterwards.
+// Put verifies and stores a chunk; the store keeps data, which must not change afterwards.
 func (s *Store) Put(want Digest, data []byte) error {
 	if got := DigestOf(data); got != want {
 		return &MismatchError{What: "chunk", Want: want, Got: got}
@@ -108,7 +108,7 @@
 	}
 }
 
-// Verify checks that all chunks of a manifest are held and that together they have its whole digest.
+// Verify checks that all chunks of a manifest are held and together have its whole digest.
 func (s *Store) Verify(m Manifest) error {
 	whole := sha256.New()
 	for _, digest := range m.Chunks {
--- a/weights/weights_test.go
+++ b/weights/weights_test.go
@@ -45,11 +45,11 @@
 		want Digest
 		ok   bool
 	}{
-		"whole":            {body, DigestOf(body), true},
-		"corrupted":        {corrupt, DigestOf(body), false},
-		"another declared": {body, DigestOf(nil), false},
-		"chunks missing":   {shortBody, DigestOf(shortBody), false},
-		"no manifest":      {[]byte("x"), DigestOf([]byte("x")), false},
+		"whole":          {body, DigestOf(body), true},
+		"corrupted":      {corrupt, DigestOf(body), false},
+		"other digest":   {body, DigestOf(nil), false},
+		"chunks missing": {shortBody, DigestOf(shortBody), false},
+		"not a manifest": {[]byte("x"), DigestOf([]byte("x")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := ParseManifest(tc.body, tc.want)
@@ -68,7 +68,7 @@
 	manifest := testManifest(t, data)
 	store := NewStore(4 * testChunk)
 	if err := store.Put(manifest.Chunks[0], data[testChunk:2*testChunk]); err == nil {
-		t.Error("a chunk with another digest was taken")
+		t.Error("a chunk with another digest was stored")
 	}
 	for i, digest := range manifest.Chunks {
 		if err := store.Put(digest, data[i*testChunk:(i+1)*testChunk]); err != nil {
@@ -125,7 +125,7 @@
 func (m *memObjects) PutNew(_ context.Context, key string, body []byte) (bool, error) {
 	m.puts++
 	if m.puts == m.failAt {
-		return false, errors.New("broken off")
+		return false, errors.New("connection lost")
 	}
 	if _, ok := m.objects[key]; ok {
 		return false, nil
@@ -143,11 +143,11 @@
 		return digest, err
 	}
 	if _, err := publish("v1", data); err == nil {
-		t.Fatal("the broken-off publication succeeded")
+		t.Fatal("the interrupted publication succeeded")
 	}
 	digest, err := publish("v1", data)
 	if err != nil {
-		t.Fatalf("run again: %v", err)
+		t.Fatalf("repeated: %v", err)
 	}
 	if again, err := publish("v1", data); err != nil || again != digest {
 		t.Errorf("published twice: %s, %v", again, err)
