--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,4 +1,3 @@
-// Package engine predicts what a model engine does with a request: how long
-// until its first event, and how long the pauses between events become. It is
-// pure: it is told the figures of the contract and the load, and keeps nothing.
+// Package engine predicts how long a model engine takes for a request: the time to its first event, and the pauses between
+// events. It keeps no state; callers pass the engine's parameters and the load.
 package engine
--- a/engine/model.go
+++ b/engine/model.go
@@ -7,78 +7,78 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// Load is what is known to be at an engine.
+// Load is the known load of an engine.
 type Load struct {
-	// Writing is how many requests get tokens, Reading how many wait for their first.
+	// Decoding is the number of requests that receive tokens, Prefilling the number that wait for their first.
 	Writing int
 	Reading int
-	// Unread is the prompt tokens of those that wait for their first token.
+	// PrefillTokens is the number of prompt tokens of requests that wait for their first token.
 	Unread int
-	// Slow is how many times slower than usual the engine works; 0 and 1 mean as usual.
+	// Slowdown is the factor by which the engine is slower than usual; 0 and 1 mean as usual.
 	Slow float64
 }
 
-// The units in which the figures of an engine count context and pairs of tokens.
+// Units of an engine's parameters for context tokens and for pairs of tokens.
 const (
 	thousand = 1000
 	million  = 1e6
 )
 
-// Step returns the time of one token step while so many requests are written.
-func Step(e *contract.Engine, writing int) time.Duration {
-	context := float64(writing*(e.UsualPrompt+e.UsualAnswer/2)) / thousand
-	return e.Step + time.Duration(writing)*e.PerSequence + time.Duration(context*float64(e.PerContext))
+// Step returns the time of one decode step for a number of decoding requests.
+func Step(e *contract.Engine, decoding int) time.Duration {
+	context := float64(decoding*(e.UsualPrompt+e.UsualAnswer/2)) / thousand
+	return e.Step + time.Duration(decoding)*e.PerSequence + time.Duration(context*float64(e.PerContext))
 }
 
-// Read returns the time that reading so many prompt tokens of so many requests takes.
+// Read returns the prefill time of a number of prompt tokens, spread evenly over requests.
 func Read(e *contract.Engine, tokens, requests int) time.Duration {
 	if e.ReadRate <= 0 || tokens <= 0 {
 		return 0
 	}
-	each := float64(tokens) / float64(max(requests, 1))
-	pairs := float64(max(requests, 1)) * each * each / 2 / million
+	perRequest := float64(tokens) / float64(max(requests, 1))
+	pairs := float64(max(requests, 1)) * perRequest * perRequest / 2 / million
 	return time.Duration(float64(tokens)/e.ReadRate*float64(time.Second) + pairs*float64(e.PerPairs))
 }
 
-// First returns how long a request with so many prompt tokens waits for its first event at a load.
+// First returns the time to the first event of a request with a number of prompt tokens at a load.
 func First(e *contract.Engine, load Load, prompt int) time.Duration {
 	tokens := load.Unread + prompt
-	pass := time.Duration(e.Stride) * Step(e, load.Writing+1)
+	stride := time.Duration(e.Stride) * Step(e, load.Writing+1)
 	first := Read(e, tokens, load.Reading+1)
 	if e.Chunk > 0 && load.Writing > 0 {
-		first += time.Duration(math.Ceil(float64(tokens)/float64(e.Chunk))) * pass
+		first += time.Duration(math.Ceil(float64(tokens)/float64(e.Chunk))) * stride
 	}
-	first += pass + wait(e, load)
+	first += stride + wait(e, load)
 	if load.Slow > 1 {
 		first = time.Duration(float64(first) * load.Slow)
 	}
 	return first
 }
 
-// wait returns how long it takes until a slot is free for one more request.
+// wait returns the time until a slot is free for one more request.
 func wait(e *contract.Engine, load Load) time.Duration {
-	over := load.Writing + load.Reading + 1 - e.Slots
-	if over <= 0 || e.Slots == 0 {
+	excess := load.Writing + load.Reading + 1 - e.Slots
+	if excess <= 0 || e.Slots == 0 {
 		return 0
 	}
-	return time.Duration(over) * Hold(e, load) / time.Duration(e.Slots)
+	return time.Duration(excess) * Hold(e, load) / time.Duration(e.Slots)
 }
 
-// Hold returns how long a usual request holds its slot at a load.
+// Hold returns how long a usual request occupies its slot at a load.
 func Hold(e *contract.Engine, load Load) time.Duration {
-	writing := min(load.Writing+load.Reading, e.Slots)
-	step := Step(e, writing)
-	// Each slot is read for once in the time in which its answer is written.
-	return Read(e, e.UsualPrompt*max(writing, 1), max(writing, 1)) + time.Duration(e.UsualAnswer)*step
+	decoding := min(load.Writing+load.Reading, e.Slots)
+	step := Step(e, decoding)
+	// The prompt of each slot is prefilled once while an answer is written.
+	return Read(e, e.UsualPrompt*max(decoding, 1), max(decoding, 1)) + time.Duration(e.UsualAnswer)*step
 }
 
-// Write returns how long so many tokens of an answer take after the first, at a load; an unknown number is the usual one.
+// Write returns the time to decode a number of tokens after the first at a load; 0 tokens mean the usual number.
 func Write(e *contract.Engine, load Load, tokens int) time.Duration {
 	if tokens <= 0 {
 		tokens = e.UsualAnswer
 	}
-	writing := max(load.Writing+load.Reading, 1)
-	// While a request is written, the others of its slots are read for in turn.
-	reading := Read(e, e.UsualPrompt, 1) * time.Duration(writing) * time.Duration(tokens) / time.Duration(max(e.UsualAnswer, 1))
-	return time.Duration(tokens)*Step(e, writing) + reading
+	decoding := max(load.Writing+load.Reading, 1)
+	// While one request decodes, the prompts of the other slots are prefilled in turn.
+	prefill := Read(e, e.UsualPrompt, 1) * time.Duration(decoding) * time.Duration(tokens) / time.Duration(max(e.UsualAnswer, 1))
+	return time.Duration(tokens)*Step(e, decoding) + prefill
 }
--- a/engine/model_test.go
+++ b/engine/model_test.go
@@ -12,17 +12,17 @@
 	PerContext: 23 * time.Microsecond, ReadRate: 19100, PerPairs: 1470 * time.Microsecond, UsualPrompt: 977, UsualAnswer: 94,
 }
 
-func TestFirst(t *testing.T) {
+func TestTimeToFirstEvent(t *testing.T) {
 	for name, test := range map[string]struct {
 		less, more Load
 		lessPrompt int
 		morePrompt int
 	}{
-		"a longer prompt takes longer":     {Load{}, Load{}, 100, 3000},
-		"what is unread comes before":      {Load{}, Load{Reading: 3, Unread: 3000}, 900, 900},
-		"those that write take their part": {Load{Unread: 2000}, Load{Unread: 2000, Writing: 10}, 900, 900},
-		"without a free slot it waits":     {Load{Writing: 15}, Load{Writing: 16}, 900, 900},
-		"a slow engine takes longer":       {Load{Writing: 4}, Load{Writing: 4, Slow: 3}, 900, 900},
+		"longer prompt":     {Load{}, Load{}, 100, 3000},
+		"pending prefill":   {Load{}, Load{Reading: 3, Unread: 3000}, 900, 900},
+		"decoding requests": {Load{Unread: 2000}, Load{Unread: 2000, Writing: 10}, 900, 900},
+		"no free slot":      {Load{Writing: 15}, Load{Writing: 16}, 900, 900},
+		"slow engine":       {Load{Writing: 4}, Load{Writing: 4, Slow: 3}, 900, 900},
 	} {
 		t.Run(name, func(t *testing.T) {
 			less, more := First(testEngine, test.less, test.lessPrompt), First(testEngine, test.more, test.morePrompt)
@@ -33,15 +33,15 @@
 	}
 }
 
-func TestFirstOfAnIdleEngine(t *testing.T) {
-	// 977 tokens are read in 51 ms, with their pairs 52 ms, and five steps make the first event.
+func TestTimeToFirstEventOfIdleEngine(t *testing.T) {
+	// Prefill takes 52 ms including token pairs; five decode steps produce the first event.
 	if first := First(testEngine, Load{}, 977); first < 90*time.Millisecond || first > 110*time.Millisecond {
 		t.Errorf("an idle engine takes %s for its first event", first)
 	}
 }
 
-func TestFiguresThatAreMissing(t *testing.T) {
+func TestMissingParameters(t *testing.T) {
 	if first := First(&contract.Engine{}, Load{Writing: 3, Reading: 2, Unread: 100}, 100); first < 0 {
-		t.Errorf("an engine without figures takes %s", first)
+		t.Errorf("an engine without parameters takes %s", first)
 	}
 }
