--- a/upstream/client.go
+++ b/upstream/client.go
@@ -23,13 +23,13 @@
 
 // Client calls one upstream.
 type Client struct {
-	// URL is the upstream's base, without a slash at the end.
+	// URL is the upstream's base URL, without a trailing slash.
 	URL string
 	// HTTP makes the calls; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// Do hands a caller's request to the upstream; an UnsentError says that it never saw it.
+// Do sends a caller's request to the upstream; an UnsentError means that the upstream did not receive it.
 func (c *Client) Do(ctx context.Context, method, path string, header http.Header, body []byte) (*http.Response, error) {
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{
@@ -50,7 +50,7 @@
 	return nil, &CallError{Call: method + " " + path, Err: err}
 }
 
-// Order gives an engine an order; any error but a StaleFenceError leaves open whether it was taken.
+// Order sends an engine an order; any error but a StaleFenceError leaves open whether it was accepted.
 func (c *Client) Order(ctx context.Context, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// State asks an engine for its state.
+// State reads an engine's state.
 func (c *Client) State(ctx context.Context) (State, error) {
 	status, body, err := c.control(ctx, http.MethodGet, PathState, nil)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return c.HTTP
 }
 
-func (c *Client) control(ctx context.Context, method, path string, body []byte) (status int, answer []byte, err error) {
+func (c *Client) control(ctx context.Context, method, path string, body []byte) (status int, respBody []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.URL+path, bytes.NewReader(body))
@@ -110,19 +110,19 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, err = io.ReadAll(io.LimitReader(resp.Body, maxControlAnswer))
-	return resp.StatusCode, answer, errors.Join(err, resp.Body.Close())
+	respBody, err = io.ReadAll(io.LimitReader(resp.Body, maxControlBytes))
+	return resp.StatusCode, respBody, errors.Join(err, resp.Body.Close())
 }
 
-const maxControlAnswer = 1 << 20
+const maxControlBytes = 1 << 20
 
-// hopHeaders are meant for one hop only and are not handed on.
+// hopHeaders are not forwarded: hop-by-hop headers, the caller's key and the length.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
 }
 
-// CleanHeader returns the headers to hand on: without those of one hop and without the caller's key.
+// CleanHeader returns a copy of the header without hop-by-hop fields and the caller's key.
 func CleanHeader(header http.Header) http.Header {
 	clean := header.Clone()
 	for _, field := range clean.Values("Connection") {
@@ -136,7 +136,7 @@
 	return clean
 }
 
-// IsStream reports whether an answer with a header is a stream of events.
+// IsStream reports whether a response with this header is a stream of events.
 func IsStream(header http.Header) bool {
 	return strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 }
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,3 +1,3 @@
-// Package upstream meets what stands behind a box: a model engine, which takes
-// fenced orders to load weights, or a plain service. Both answer over HTTP.
+// Package upstream calls the upstream behind a box over HTTP: a model engine, which accepts fenced orders to load weights, or
+// a plain service.
 package upstream
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// StaleFenceError says that an engine has taken a newer order.
+// StaleFenceError says that an engine has accepted a newer order.
 type StaleFenceError struct{ Sent Fence }
 
 // Error names the fence.
 func (e *StaleFenceError) Error() string {
-	return fmt.Sprintf("order %+v is older than one the upstream has taken", e.Sent)
+	return fmt.Sprintf("order %+v is older than one the upstream has accepted", e.Sent)
 }
 
 // CallError says that a call to an upstream failed.
@@ -28,7 +28,7 @@
 // Error names the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// UnsentError says that a request did not reach the upstream, so that it did not run.
+// UnsentError says that a request did not reach the upstream, so it did not run.
 type UnsentError struct{ Err error }
 
 // Error gives the cause.
--- a/upstream/order.go
+++ b/upstream/order.go
@@ -1,6 +1,6 @@
 package upstream
 
-// Fence orders the orders to an upstream: one that checks refuses an order older than the newest it took.
+// Fence is a fencing token: an upstream that checks it refuses an order older than the newest it accepted.
 type Fence struct {
 	// Epoch counts the daemons of the box.
 	Epoch int64 `json:"epoch"`
@@ -30,7 +30,7 @@
 	ActionUnload Action = "unload"
 )
 
-// Order tells an engine to load weights from Source, or to unload.
+// Order tells an engine to load weights from Source, or to unload them.
 type Order struct {
 	Fence   Fence  `json:"fence"`
 	Action  Action `json:"action"`
@@ -52,7 +52,7 @@
 	PhaseFailed  Phase = "failed"
 )
 
-// State is what an engine reports of itself; Digest is that of the whole weights it has loaded.
+// State is what an engine reports; Digest is that of the whole weights it has loaded.
 type State struct {
 	Phase   Phase  `json:"phase"`
 	Version string `json:"version,omitempty"`
