--- a/box/unlisted_test.go
+++ b/box/unlisted_test.go
@@ -29,8 +29,8 @@
 	return l.members, nil
 }
 
-// TestBoxWaitsForListBeforeDownloading checks that a box takes itself for the only one, which would download all chunks, only
-// after the list of live boxes was read or did not come for a while.
+// TestBoxWaitsForListBeforeDownloading checks that a box assumes to be the only one, and so downloads all chunks, only after the
+// list of live boxes was read or could not be read for a while.
 func TestBoxWaitsForListBeforeDownloading(t *testing.T) {
 	self := swarm.Member{ID: "b", Site: "s"}
 	listed := []membership.Member{{ID: "a", Role: membership.RoleBox, Site: "s"}, {ID: "b", Role: membership.RoleBox, Site: "s"}}
--- a/engine/model_test.go
+++ b/engine/model_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestTimeToFirstEventOfIdleEngine(t *testing.T) {
-	// Prefill takes 52 ms including token pairs; five decode steps produce the first event.
+	// Prefill and one stride of decode steps, without waiting.
 	if first := First(testEngine, Load{}, 977); first < 90*time.Millisecond || first > 110*time.Millisecond {
 		t.Errorf("an idle engine takes %s for its first event", first)
 	}
--- a/fill/inlink.go
+++ b/fill/inlink.go
@@ -16,7 +16,7 @@
 	site    string
 	entry   bool
 	uploads uploadClock
-	// weight is the number of entries that this one stands for, host where it accepts links, sentHosts the entries last sent
+	// weight is the number of entries that this one represents, host where it accepts links, sentHosts the entries last sent
 	// to it; all guarded by the links' mutex.
 	weight    float64
 	host      string
--- a/fill/links.go
+++ b/fill/links.go
@@ -111,7 +111,7 @@
 	ls.chooseRelay()
 }
 
-// setWeight updates the number of entries that an entry stands for.
+// setWeight updates the number of entries that an entry represents.
 func (ls *links) setWeight(l *inboundLink, weight float64) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -134,7 +134,7 @@
 }
 
 // reportedTurn returns the time until a load turn as reported; 0 while it is far off. A turn that has passed is not reported
-// as 0, since entries would take the server for the one that stays open longest.
+// as 0, since entries would assume that the server stays open longest.
 func reportedTurn(left time.Duration) time.Duration {
 	if left >= turnHorizon {
 		return 0
