--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,6 +1,4 @@
-// Package admission decides which requests are let in when there is not room for
-// all: first tries before callers that return after a refusal, all kinds of a
-// service alike. It is pure: it is told the time, what a request says and what
-// waits before it, and knows no connections. Package admit is the queue of
-// entries whose requests go through boxes.
+// Package admission decides which requests to admit under overload: first attempts
+// take precedence over retries, and all routes of a service are treated alike. It
+// does no I/O and takes the time as an argument; package admit has the queue.
 package admission
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -7,88 +7,87 @@
 )
 
 const (
-	// freshShare is the part of the tightest goal of a service that may pass before a first try is read. At 0.7 of it servers
-	// stood free, at 0.8 mean worth was higher by 0.036 in shortages that last (6 days) and by 0.007 elsewhere (10 days).
-	freshShare = 0.8
-	// returnShare is the same for a caller that returns, while first tries are refused: it can only be late, and would take the
-	// room of one that can be in time. With it mean worth rose from 0.389 to 0.474 in shortages that last (6 days).
-	returnShare = 0.3
-	// fullPressure is the share of first tries refused of late from which on returns are kept back as far as that; below it as
-	// much less, so that callers find room again after a short jam. It cost 0.01 of worth there to keep returns back always.
-	fullPressure = 0.1
-	// pressureWeight is the weight of the newest first try in the pressure.
-	pressureWeight = 0.05
-	// kindLife is how long a kind of request counts that does not come any more.
-	kindLife = 30 * time.Second
+	// firstAttemptShare is the largest queueing delay of a first attempt, as a fraction of the service's tightest latency goal.
+	firstAttemptShare = 0.8
+	// retryShare is the same fraction for a retry at full pressure. It is lower because a retry has already missed its goal
+	// and would take the place of a request that can still meet it.
+	retryShare = 0.3
+	// saturatedPressure is the pressure from which retries are limited to retryShare. Below it the limit rises linearly to
+	// firstAttemptShare, so that retries succeed soon after a short overload.
+	saturatedPressure = 0.1
+	// pressureSmoothing is the weight of the latest first attempt in the moving average.
+	pressureSmoothing = 0.05
+	// routeTTL is how long a route without requests still limits the others.
+	routeTTL = 30 * time.Second
 )
 
-// Ask is what a request tells that asks to be let in.
+// Ask describes a request that seeks admission.
 type Ask struct {
-	// Kind is the request's route, Goal the time within which its answer is in time.
+	// Kind is the request's route, Goal its latency goal.
 	Kind string
 	Goal time.Duration
 }
 
-// Policy lets the requests of one service in; the zero Policy is ready to use, from several goroutines.
+// Policy admits the requests of one service. The zero value is ready to use and safe for concurrent use.
 type Policy struct {
-	mu    sync.Mutex
-	kinds map[string]kind
-	// pressure is the share of first tries that were refused of late.
+	mu     sync.Mutex
+	routes map[string]routeState
+	// pressure is a moving average of the fraction of first attempts refused.
 	pressure float64
 }
 
-// kind is what is seen of one kind of request.
-type kind struct {
-	goal time.Duration
-	seen time.Time
+type routeState struct {
+	goal     time.Duration
+	lastSeen time.Time
 }
 
-// Note notes that a request of a kind came.
+// Note records a request's route, whose goal then limits the other routes too.
 func (p *Policy) Note(ask Ask, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	maps.DeleteFunc(p.kinds, func(_ string, k kind) bool { return now.Sub(k.seen) > kindLife })
-	if p.kinds == nil {
-		p.kinds = make(map[string]kind)
+	maps.DeleteFunc(p.routes, func(_ string, state routeState) bool { return now.Sub(state.lastSeen) > routeTTL })
+	if p.routes == nil {
+		p.routes = make(map[string]routeState)
 	}
-	p.kinds[ask.Kind] = kind{goal: ask.Goal, seen: now}
+	p.routes[ask.Kind] = routeState{goal: ask.Goal, lastSeen: now}
 }
 
-// LetIn reports whether a request that was tried first so long ago is let in when so much is read before it.
-func (p *Policy) LetIn(ask Ask, waited, ahead time.Duration) bool {
+// LetIn reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first attempt, 0 for
+// a first attempt.
+func (p *Policy) LetIn(ask Ask, sinceFirst, queueDelay time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if waited > 0 {
-		return ahead <= p.bound(ask, p.returnShare())
+	if sinceFirst > 0 {
+		return queueDelay <= p.maxDelay(ask, p.retryShare())
 	}
-	in := ahead <= p.bound(ask, freshShare)
+	admitted := queueDelay <= p.maxDelay(ask, firstAttemptShare)
 	refused := 1.0
-	if in {
+	if admitted {
 		refused = 0
 	}
-	p.pressure += pressureWeight * (refused - p.pressure)
-	return in
+	p.pressure += pressureSmoothing * (refused - p.pressure)
+	return admitted
 }
 
-// Pressure returns the share of first tries that were refused of late.
+// Pressure returns the recent fraction of first attempts that were refused, 0 to 1.
 func (p *Policy) Pressure() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.pressure
 }
 
-// returnShare is the part of the goal that may pass before a return is read, by the pressure; mu is held.
-func (p *Policy) returnShare() float64 {
-	return freshShare - (freshShare-returnShare)*min(1, p.pressure/fullPressure)
+// retryShare returns the fraction of the tightest goal that a retry may wait at the current pressure; mu is held.
+func (p *Policy) retryShare() float64 {
+	return firstAttemptShare - (firstAttemptShare-retryShare)*min(1, p.pressure/saturatedPressure)
 }
 
-// bound returns how much may be read before a request: a share of the tightest goal of all kinds that come, so that none is
-// refused more often because its own goal is tighter; mu is held.
-func (p *Policy) bound(ask Ask, share float64) time.Duration {
+// maxDelay returns the longest queueing delay at which a request is admitted. It uses the tightest goal of all active routes,
+// so that a route with a tighter goal is not refused more often than the others; mu is held.
+func (p *Policy) maxDelay(ask Ask, share float64) time.Duration {
 	tightest := ask.Goal
-	for _, k := range p.kinds {
-		if k.goal > 0 {
-			tightest = min(tightest, k.goal)
+	for _, state := range p.routes {
+		if state.goal > 0 {
+			tightest = min(tightest, state.goal)
 		}
 	}
 	return time.Duration(share * float64(tightest))
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -6,79 +6,78 @@
 )
 
 const (
-	// endsSlack is by how much the end of a caller's time may seem to differ between two tries, by its way and by rounding.
-	endsSlack = 30 * time.Millisecond
-	// returnsWithin is how long a refusal is remembered: callers come back after the time told or a third of the time that they
-	// have left, whichever is sooner.
-	returnsWithin = 4 * time.Second
-	// mostRefusals bounds what is remembered; the oldest is forgotten first.
-	mostRefusals = 16384
+	// deadlineTolerance is how far the deadlines of two attempts of one request may differ by network delay and rounding.
+	deadlineTolerance = 30 * time.Millisecond
+	// retryWindow is how long a refusal is kept; callers retry after the advised delay or a third of their remaining time,
+	// whichever is shorter.
+	retryWindow = 4 * time.Second
+	// maxRefusals bounds the refusals kept; the oldest is dropped first.
+	maxRefusals = 16384
 )
 
-// Refusal is a try that was refused: what tells the request when it comes again, when it was tried first, and when its caller's
-// time ends, zero when it does not say.
+// Refusal is a refused attempt: the request's fingerprint, the time of its first attempt and the caller's deadline, zero if
+// it gave none.
 type Refusal struct {
 	Print uint64
 	First time.Time
 	Ends  time.Time
 }
 
-// Returns remembers refusals, those of other entries too, to tell callers that return from first tries; the zero value remembers
-// none. It is safe for concurrent use.
+// Returns tells retries from first attempts by the refusals of this and other entries. The zero value is empty and safe for
+// concurrent use.
 type Returns struct {
-	mu    sync.Mutex
-	of    map[uint64][]remembered
-	order []remembered
+	mu            sync.Mutex
+	byFingerprint map[uint64][]recordedRefusal
+	oldestFirst   []recordedRefusal
 }
 
-// remembered is a refusal and when it was noted.
-type remembered struct {
+type recordedRefusal struct {
 	Refusal
-	noted time.Time
+	recordedAt time.Time
 }
 
-// Note remembers a refusal.
+// Note records a refusal and drops expired ones.
 func (r *Returns) Note(refusal Refusal, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.of == nil {
-		r.of = make(map[uint64][]remembered)
+	if r.byFingerprint == nil {
+		r.byFingerprint = make(map[uint64][]recordedRefusal)
 	}
-	one := remembered{Refusal: refusal, noted: now}
-	r.of[refusal.Print] = append(r.of[refusal.Print], one)
-	r.order = append(r.order, one)
-	for len(r.order) > mostRefusals || len(r.order) > 0 && now.Sub(r.order[0].noted) > returnsWithin {
-		r.forget(r.order[0])
-		r.order = r.order[1:]
+	recorded := recordedRefusal{Refusal: refusal, recordedAt: now}
+	r.byFingerprint[refusal.Print] = append(r.byFingerprint[refusal.Print], recorded)
+	r.oldestFirst = append(r.oldestFirst, recorded)
+	for len(r.oldestFirst) > maxRefusals || len(r.oldestFirst) > 0 && now.Sub(r.oldestFirst[0].recordedAt) > retryWindow {
+		r.forget(r.oldestFirst[0])
+		r.oldestFirst = r.oldestFirst[1:]
 	}
 }
 
-// Take returns when a request was tried first if it is one that was refused and has come back, which it does once for each
-// refusal. Of requests that are alike the ends of their callers' times tell which.
-func (r *Returns) Take(key uint64, ends, now time.Time) (first time.Time, ok bool) {
+// Take returns the time of a request's first attempt if the request retries a refused one. Each refusal matches once; equal
+// requests are told apart by their deadlines.
+func (r *Returns) Take(fingerprint uint64, deadline, now time.Time) (first time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, one := range r.of[key] {
-		if now.Sub(one.noted) <= returnsWithin && one.Ends.Sub(ends).Abs() <= endsSlack {
-			r.forget(one)
-			return one.First, true
+	for _, recorded := range r.byFingerprint[fingerprint] {
+		if now.Sub(recorded.recordedAt) <= retryWindow && recorded.Ends.Sub(deadline).Abs() <= deadlineTolerance {
+			r.forget(recorded)
+			return recorded.First, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// forget drops a refusal; mu is held.
-func (r *Returns) forget(one remembered) {
-	all := r.of[one.Print]
+// forget removes a refusal; mu is held.
+func (r *Returns) forget(recorded recordedRefusal) {
+	all := r.byFingerprint[recorded.Print]
 	for i := range all {
-		if all[i] == one {
+		if all[i] == recorded {
 			all = append(all[:i], all[i+1:]...)
 			break
 		}
 	}
 	if len(all) == 0 {
-		delete(r.of, one.Print)
+		delete(r.byFingerprint, recorded.Print)
 		return
 	}
-	r.of[one.Print] = all
+	r.byFingerprint[recorded.Print] = all
 }
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// refusedAt is a refusal at the start of a request that was tried first so long before, whose caller waits so long more.
-func refusedAt(key uint64, before, left time.Duration) Refusal {
-	return Refusal{Print: key, First: start.Add(-before), Ends: start.Add(left)}
+// refusedAt returns a refusal at start of a request first attempted before that, with left until its deadline.
+func refusedAt(fingerprint uint64, before, left time.Duration) Refusal {
+	return Refusal{Print: fingerprint, First: start.Add(-before), Ends: start.Add(left)}
 }
 
-func TestReturnsAreTold(t *testing.T) {
+func TestRetriesAreDetected(t *testing.T) {
 	refusal := refusedAt(7, ms(200), ms(5000))
 	for name, test := range map[string]struct {
 		refusals []Refusal
@@ -20,14 +20,14 @@
 		at, left time.Duration
 		want     bool
 	}{
-		"a return":                                      {[]Refusal{refusal}, 7, ms(900), ms(4100), true},
-		"the way took a little longer":                  {[]Refusal{refusal}, 7, ms(900), ms(4085), true},
-		"nothing was refused":                           {nil, 7, ms(900), ms(4100), false},
-		"another request":                               {[]Refusal{refusal}, 8, ms(900), ms(4100), false},
-		"one like it, of a caller that came later":      {[]Refusal{refusal}, 7, ms(900), ms(5000), false},
-		"one like it, of a caller that waits less":      {[]Refusal{refusal}, 7, ms(900), ms(3000), false},
-		"of two that are alike the one whose time ends": {[]Refusal{refusedAt(7, 0, ms(5500)), refusal}, 7, ms(900), ms(4100), true},
-		"long after":                                    {[]Refusal{refusal}, 7, ms(4500), ms(500), false},
+		"retry": {[]Refusal{refusal}, 7, ms(900), ms(4100), true},
+		"retry with slightly different network delay": {[]Refusal{refusal}, 7, ms(900), ms(4085), true},
+		"no refusal":                             {nil, 7, ms(900), ms(4100), false},
+		"other request":                          {[]Refusal{refusal}, 8, ms(900), ms(4100), false},
+		"equal request with a later deadline":    {[]Refusal{refusal}, 7, ms(900), ms(5000), false},
+		"equal request with an earlier deadline": {[]Refusal{refusal}, 7, ms(900), ms(3000), false},
+		"equal requests told apart by deadline":  {[]Refusal{refusedAt(7, 0, ms(5500)), refusal}, 7, ms(900), ms(4100), true},
+		"after the retry window":                 {[]Refusal{refusal}, 7, ms(4500), ms(500), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r Returns
@@ -37,78 +37,77 @@
 			now := start.Add(test.at)
 			first, ok := r.Take(test.print, now.Add(test.left), now)
 			if ok != test.want || ok && !first.Equal(refusal.First) {
-				t.Errorf("%t, first tried at %s; want %t", ok, first.Sub(start), test.want)
+				t.Errorf("matched %t, first attempt at %s; want %t", ok, first.Sub(start), test.want)
 			}
 			if _, again := r.Take(test.print, now.Add(test.left), now); again {
-				t.Error("it returns twice for one refusal")
+				t.Error("one refusal matched twice")
 			}
 		})
 	}
 }
 
-func TestRefusalsAreBounded(t *testing.T) {
+func TestRecordedRefusalsAreBounded(t *testing.T) {
 	var r Returns
-	for i := range 2 * mostRefusals {
+	for i := range 2 * maxRefusals {
 		r.Note(refusedAt(uint64(i), 0, ms(5000)), start)
 	}
-	if len(r.order) > mostRefusals || len(r.of) > mostRefusals {
-		t.Errorf("%d and %d are remembered", len(r.order), len(r.of))
+	if len(r.oldestFirst) > maxRefusals || len(r.byFingerprint) > maxRefusals {
+		t.Errorf("%d in order and %d fingerprints are kept", len(r.oldestFirst), len(r.byFingerprint))
 	}
-	r.Note(refusedAt(1, 0, ms(5000)), start.Add(returnsWithin+time.Second))
-	if len(r.order) != 1 || len(r.of) != 1 {
-		t.Errorf("%d and %d are remembered after a while", len(r.order), len(r.of))
+	r.Note(refusedAt(1, 0, ms(5000)), start.Add(retryWindow+time.Second))
+	if len(r.oldestFirst) != 1 || len(r.byFingerprint) != 1 {
+		t.Errorf("%d in order and %d fingerprints are kept after expiry, want 1", len(r.oldestFirst), len(r.byFingerprint))
 	}
 }
 
-// TestReturnsOfAnyPatience proves that returns are told from first tries whatever callers' patience is, also where a third of
-// them ask the same: at most 2 in 100 are taken for what they are not. By the longest time told of its kind 78 in 100 first tries
-// were taken for returns where patience differs by 15 in 100.
-func TestReturnsOfAnyPatience(t *testing.T) {
+// TestRetryDetectionAccuracy checks that few attempts are misclassified when callers' timeouts differ and a third of the
+// requests are equal.
+func TestRetryDetectionAccuracy(t *testing.T) {
 	const callers, rate, wait = 20000, 300, 6 * time.Second
-	for name, spread := range map[string]float64{"alike": 0, "by 0.15": 0.15, "by 0.4": 0.4} {
+	for name, spread := range map[string]float64{"equal": 0, "by 0.15": 0.15, "by 0.4": 0.4} {
 		t.Run(name, func(t *testing.T) {
-			turns := rand.New(rand.NewPCG(1, uint64(spread*100)))
-			type try struct {
-				at      time.Time
-				print   uint64
-				ends    time.Time
-				returns bool
+			rng := rand.New(rand.NewPCG(1, uint64(spread*100)))
+			type attempt struct {
+				at    time.Time
+				print uint64
+				ends  time.Time
+				retry bool
 			}
 			var r Returns
-			var back []try
-			wrong, asked := 0, 0
+			var retries []attempt
+			wrong, sent := 0, 0
 			now := start
-			meet := func(one try) {
-				jitter := time.Duration(turns.IntN(8)) * time.Millisecond
-				_, told := r.Take(one.print, one.ends.Add(jitter), one.at)
-				asked++
-				if told != one.returns {
+			send := func(one attempt) {
+				jitter := time.Duration(rng.IntN(8)) * time.Millisecond
+				_, matched := r.Take(one.print, one.ends.Add(jitter), one.at)
+				sent++
+				if matched != one.retry {
 					wrong++
 				}
-				if !one.returns && turns.IntN(4) == 0 {
+				if !one.retry && rng.IntN(4) == 0 {
 					r.Note(Refusal{Print: one.print, First: one.at, Ends: one.ends}, one.at)
-					after := ms(400 + turns.IntN(900))
-					back = append(back, try{at: one.at.Add(after), print: one.print, ends: one.ends, returns: true})
+					after := ms(400 + rng.IntN(900))
+					retries = append(retries, attempt{at: one.at.Add(after), print: one.print, ends: one.ends, retry: true})
 				}
 			}
 			for i := range callers {
-				now = now.Add(time.Duration(turns.ExpFloat64() / rate * float64(time.Second)))
-				for len(back) > 0 && back[0].at.Before(now) {
-					one := back[0]
-					back = back[1:]
-					meet(one)
+				now = now.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+				for len(retries) > 0 && retries[0].at.Before(now) {
+					one := retries[0]
+					retries = retries[1:]
+					send(one)
 				}
-				key := uint64(i) + 1000
-				if turns.IntN(3) == 0 {
-					key = 1 + uint64(turns.IntN(20))
+				fingerprint := uint64(i) + 1000
+				if rng.IntN(3) == 0 {
+					fingerprint = 1 + uint64(rng.IntN(20))
 				}
-				patience := time.Duration((1 - spread*turns.Float64()) * float64(wait)).Round(time.Millisecond)
-				meet(try{at: now, print: key, ends: now.Add(patience)})
+				patience := time.Duration((1 - spread*rng.Float64()) * float64(wait)).Round(time.Millisecond)
+				send(attempt{at: now, print: fingerprint, ends: now.Add(patience)})
 			}
-			if share := float64(wrong) / float64(asked); share > 0.02 {
-				t.Errorf("%.1f in 100 told wrongly", 100*share)
+			if share := float64(wrong) / float64(sent); share > 0.02 {
+				t.Errorf("%.1f%% of requests misclassified", 100*share)
 			} else {
-				t.Log(fmt.Sprintf("%.2f in 100 told wrongly", 100*share))
+				t.Log(fmt.Sprintf("%.2f%% of requests misclassified", 100*share))
 			}
 		})
 	}
--- a/admission/services.go
+++ b/admission/services.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// Services holds the policy of each service; the zero value is ready to use.
+// Services holds a Policy for each service. The zero value is ready to use.
 type Services struct {
-	mu sync.Mutex
-	of map[string]*Policy
+	mu       sync.Mutex
+	policies map[string]*Policy
 }
 
-// Of returns the policy of a service.
+// Of returns the policy of a service, creating it on first use.
 func (s *Services) Of(service string) *Policy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p := s.of[service]
+	p := s.policies[service]
 	if p == nil {
-		if s.of == nil {
-			s.of = make(map[string]*Policy)
+		if s.policies == nil {
+			s.policies = make(map[string]*Policy)
 		}
 		p = &Policy{}
-		s.of[service] = p
+		s.policies[service] = p
 	}
 	return p
 }
