--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -19,7 +19,7 @@
 		items []*Item
 		want  []string
 	}{
-		"teams take turns": {
+		"round robin between teams": {
 			items: []*Item{item("a", 1, 0, 1), item("a", 1, 0, 2), item("a", 1, 0, 3), item("b", 1, 0, 4)},
 			want:  []string{"a1", "b4", "a2", "a3"},
 		},
@@ -43,7 +43,7 @@
 					t.Fatalf("queue is empty at %d", i)
 				}
 				if name := fmt.Sprint(got.Team, int(got.Deadline.Sub(at))); name != want {
-					t.Errorf("place %d: %s, want %s", i, name, want)
+					t.Errorf("position %d: %s, want %s", i, name, want)
 				}
 			}
 			if q.Len() != 0 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestQueueFullEvictsTheLargest(t *testing.T) {
+func TestFullQueueEvictsLargestTeam(t *testing.T) {
 	q := NewQueue(3)
 	now := time.Unix(1000, 0)
 	for i := range 3 {
@@ -61,23 +61,23 @@
 	}
 	evicted := q.Push(&Item{Team: "small", Deadline: now})
 	if evicted == nil || evicted.Team != "large" || evicted.Deadline != now.Add(2) {
-		t.Errorf("evicted %+v, want the large team's last", evicted)
+		t.Errorf("evicted %+v, want the last request of the large team", evicted)
 	}
 }
 
-// slots is a number of places at a box.
+// slots is the capacity of a box.
 type slots struct {
 	mu   sync.Mutex
 	free int
 }
 
-func (s *slots) give() {
+func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.free++
 }
 
-func (s *slots) place() (string, bool) {
+func (s *slots) reserve() (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.free == 0 {
@@ -87,19 +87,19 @@
 	return "box", true
 }
 
-func TestControllerRefusesAtOnce(t *testing.T) {
+func TestControllerRefusesImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewController(100)
 		s := &slots{free: 1}
 		request := func(deadline time.Duration) Request {
-			return Request{Team: "a", Deadline: time.Now().Add(deadline), Place: s.place}
+			return Request{Team: "a", Deadline: time.Now().Add(deadline), Place: s.reserve}
 		}
 		for range 20 {
 			if _, err := c.Acquire(t.Context(), request(time.Minute)); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
-			s.give()
+			s.release()
 			c.Done("a")
 		}
 		s.free = 0
@@ -111,10 +111,10 @@
 		_, err := c.Acquire(t.Context(), request(time.Second))
 		var refused *RefusedError
 		if !errors.As(err, &refused) || refused.RetryAfter < 2*time.Second {
-			t.Errorf("error %v, want a refusal with a time to come back after about 3 s", err)
+			t.Errorf("error %v, want a refusal with a retry delay of about 3 s", err)
 		}
 		if took := time.Since(begin); took != 0 {
-			t.Errorf("the refusal was held back for %s", took)
+			t.Errorf("the refusal took %s, want none", took)
 		}
 	})
 }
@@ -124,31 +124,31 @@
 		c := NewController(10)
 		s := &slots{}
 		begin := time.Now()
-		_, err := c.Acquire(t.Context(), Request{Team: "a", Deadline: begin.Add(time.Second), Place: s.place})
+		_, err := c.Acquire(t.Context(), Request{Team: "a", Deadline: begin.Add(time.Second), Place: s.reserve})
 		var refused *RefusedError
 		if !errors.As(err, &refused) || time.Since(begin) != time.Second {
 			t.Errorf("error %v after %s, want a refusal at the deadline", err, time.Since(begin))
 		}
-		if c.Waiting() != 0 || len(c.running) != 0 {
-			t.Errorf("%d wait, %d run: the refused request is still counted", c.Waiting(), len(c.running))
+		if c.Waiting() != 0 || len(c.teamRequests) != 0 {
+			t.Errorf("%d wait, %d are counted: the refused request is still counted", c.Waiting(), len(c.teamRequests))
 		}
 	})
 }
 
-func TestControllerCallerGone(t *testing.T) {
+func TestControllerCallerCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewController(10)
 		s := &slots{}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
-			_, err := c.Acquire(ctx, Request{Team: "a", Deadline: time.Now().Add(time.Hour), Place: s.place})
+			_, err := c.Acquire(ctx, Request{Team: "a", Deadline: time.Now().Add(time.Hour), Place: s.reserve})
 			done <- err
 		}()
 		synctest.Wait()
 		cancel()
 		if err := <-done; err == nil || c.Waiting() != 0 {
-			t.Errorf("error %v, %d wait: the request of a caller that left was kept", err, c.Waiting())
+			t.Errorf("error %v, %d wait: the request of a caller that canceled was kept", err, c.Waiting())
 		}
 	})
 }
@@ -156,7 +156,7 @@
 func TestControllerTeamLimit(t *testing.T) {
 	c := NewController(10)
 	s := &slots{free: 5}
-	request := Request{Team: "a", Concurrency: 2, Deadline: time.Now().Add(time.Hour), Place: s.place}
+	request := Request{Team: "a", Concurrency: 2, Deadline: time.Now().Add(time.Hour), Place: s.reserve}
 	for range 2 {
 		if _, err := c.Acquire(t.Context(), request); err != nil {
 			t.Fatal(err)
@@ -164,27 +164,27 @@
 	}
 	var refused *RefusedError
 	if _, err := c.Acquire(t.Context(), request); !errors.As(err, &refused) || refused.Overload {
-		t.Errorf("error %v, want that the team is at its limit", err)
+		t.Errorf("error %v, want a refusal at the team's limit", err)
 	}
 	c.Done("a")
 	if _, err := c.Acquire(t.Context(), request); err != nil {
-		t.Errorf("after one has ended: %v", err)
+		t.Errorf("after one request has ended: %v", err)
 	}
 }
 
-// TestSmallTeamBesideLarge: at twice the capacity, one team offering 20 times as much as each of nine others, the
-// small ones get all they ask for, since that is less than their share.
-func TestSmallTeamBesideLarge(t *testing.T) {
+// TestSmallTeamKeepsShareBesideLargeTeam checks that small teams within their share get all requests served while a large
+// team overloads the service.
+func TestSmallTeamKeepsShareBesideLargeTeam(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service, rounds = 100 * time.Millisecond, 400
 		c := NewController(1000)
 		s := &slots{free: 10}
 		var mu sync.Mutex
-		served, asked := make(map[string]int), make(map[string]int)
+		served, sent := make(map[string]int), make(map[string]int)
 		send := func(team string) {
-			asked[team]++
+			sent[team]++
 			go func() {
-				_, err := c.Acquire(t.Context(), Request{Team: team, Deadline: time.Now().Add(2 * time.Second), Place: s.place})
+				_, err := c.Acquire(t.Context(), Request{Team: team, Deadline: time.Now().Add(2 * time.Second), Place: s.reserve})
 				if err != nil {
 					return
 				}
@@ -192,7 +192,7 @@
 				served[team]++
 				mu.Unlock()
 				time.Sleep(service)
-				s.give()
+				s.release()
 				c.Done(team)
 				c.Kick()
 			}()
@@ -211,13 +211,13 @@
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		for team, n := range asked {
+		for team, n := range sent {
 			if team != "large" && served[team] < n {
 				t.Errorf("%s: %d of %d served", team, served[team], n)
 			}
 		}
 		if total := served["large"]; total < rounds/2 {
-			t.Errorf("the large team got %d of %d turns", total, rounds)
+			t.Errorf("the large team got %d of %d requests served", total, rounds)
 		}
 	})
 }
--- a/admit/controller.go
+++ b/admit/controller.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// Bounds of what a refused caller is told.
+// Bounds of the retry delay that a refused caller is given.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 60 * time.Second
 )
 
-// waitShare is the part, in percent, of the time left that a request may be expected to wait. The rest is for the
-// answer and for an estimate that was too good: a request that is let in and then misses its deadline has been
-// refused late, which helps nobody.
-const waitShare = 25
+// maxWaitPercent is the largest expected wait at which a request is queued, as a percentage of the time to its deadline. The
+// rest covers the response and errors of the estimate.
+const maxWaitPercent = 25
 
-// RefusedError says that a request was refused before it went anywhere, and when to come back.
+// RefusedError says that a request was refused before it was sent to a box.
 type RefusedError struct {
-	Reason     string
+	Reason string
+	// RetryAfter is the delay after which the caller may retry.
 	RetryAfter time.Duration
-	// Overload says that the service, not the team, is at its limit.
+	// Overload says that the service is at its limit, rather than the team.
 	Overload bool
 }
 
-// Error gives the reason.
+// Error returns the reason and the retry delay.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused: %s; come back in %s", e.Reason, e.RetryAfter)
 }
 
-// Request asks for a turn.
+// Request is a request for a place at a box.
 type Request struct {
 	Team     string
 	Weight   int
 	Priority int
 	Deadline time.Time
-	// Again marks a request that had its turn at a box that did not run it: it is not refused for a wait again.
+	// Again marks a request that was admitted before, to a box that did not run it; it is not refused for a long expected wait.
 	Again bool
-	// Concurrency bounds the team's requests, waiting and running; 0 means no limit.
+	// Concurrency limits the team's requests, waiting and running; 0 means no limit.
 	Concurrency int
-	// Place reserves a box for the request; ok is false while none has room.
+	// Place reserves a box for the request; ok is false while none has capacity.
 	Place func() (box string, ok bool)
 }
 
-// Ticket is a request's turn, or its place in the queue.
+// Ticket is a request that has a box or waits in the queue.
 type Ticket struct {
 	req    Request
 	item   *Item
@@ -58,25 +58,25 @@
 	mu    sync.Mutex
 	queue *Queue
 	rate  Rate
-	// shares measures each team's turns since it last began to wait: while a team asks for less than its share its
-	// own rate says nothing of what it could get.
-	shares  map[string]*Rate
-	running map[string]int
+	// teamRates measures each team's dispatch rate since its queue was last empty; before that the rate reflects the team's
+	// demand rather than its share.
+	teamRates    map[string]*Rate
+	teamRequests map[string]int
 }
 
-// NewController returns a controller whose queue takes at most limit requests.
+// NewController returns a controller whose queue holds at most limit requests.
 func NewController(limit int) *Controller {
 	return &Controller{
-		queue:   NewQueue(limit),
-		shares:  make(map[string]*Rate),
-		running: make(map[string]int),
+		queue:        NewQueue(limit),
+		teamRates:    make(map[string]*Rate),
+		teamRequests: make(map[string]int),
 	}
 }
 
-// Acquire waits for a turn and returns the box that Place reserved. The caller calls Done once the request has ended.
-// A RefusedError comes at once when the request cannot make its deadline.
+// Acquire waits for a box and returns the one that Place reserved. The caller calls Done when the request has ended.
+// It returns a RefusedError without waiting when the request is not expected to meet its deadline.
 func (c *Controller) Acquire(ctx context.Context, req Request) (box string, err error) {
-	ticket, err := c.enter(req, time.Now())
+	ticket, err := c.admit(req, time.Now())
 	if err != nil {
 		return "", err
 	}
@@ -89,34 +89,34 @@
 		}
 		return box, nil
 	case <-timer.C:
-		return c.giveUp(ticket, "the deadline passed while waiting")
+		return c.abandon(ticket, "the deadline passed while waiting")
 	case <-ctx.Done():
-		return c.giveUp(ticket, "the caller has gone")
+		return c.abandon(ticket, "the caller has gone")
 	}
 }
 
-// Again asks for another box for a request that has had its turn, without waiting.
+// Again reserves another box for an admitted request, without waiting.
 func (c *Controller) Again(req Request) (box string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return req.Place()
 }
 
-// Done ends a request that had its turn.
+// Done releases an admitted request's slot in its team's concurrency limit.
 func (c *Controller) Done(team string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uncount(team)
+	c.releaseSlot(team)
 }
 
-// Kick gives turns to waiting requests while boxes have room.
+// Kick dispatches waiting requests while boxes have capacity.
 func (c *Controller) Kick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kick(time.Now())
+	c.dispatch(time.Now())
 }
 
-// Shed refuses waiting requests that are no longer expected to get their turn in time, the last of a team first.
+// Shed refuses waiting requests that are no longer expected to meet their deadline, the last of a team first.
 func (c *Controller) Shed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,7 +128,7 @@
 				break
 			}
 			c.queue.Remove(last)
-			c.evict(last, "the deadline can no longer be met", now)
+			c.refuseQueued(last, "the deadline can no longer be met", now)
 		}
 	}
 }
@@ -140,10 +140,10 @@
 	return c.queue.Len()
 }
 
-func (c *Controller) enter(req Request, now time.Time) (*Ticket, error) {
+func (c *Controller) admit(req Request, now time.Time) (*Ticket, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if req.Concurrency > 0 && c.running[req.Team] >= req.Concurrency {
+	if req.Concurrency > 0 && c.teamRequests[req.Team] >= req.Concurrency {
 		return nil, &RefusedError{Reason: "the team is at its limit", RetryAfter: minRetryAfter}
 	}
 	ticket := &Ticket{req: req, placed: make(chan string, 1)}
@@ -154,66 +154,66 @@
 			return ticket, nil
 		}
 	}
-	if wait := c.expectedWait(req, now); !req.Again && wait > req.Deadline.Sub(now)*waitShare/100 {
+	if wait := c.expectedWait(req, now); !req.Again && wait > req.Deadline.Sub(now)*maxWaitPercent/100 {
 		return nil, c.refusal("the deadline cannot be met", wait)
 	}
 	ticket.item = &Item{Team: req.Team, Weight: req.Weight, Priority: req.Priority, Deadline: req.Deadline, ticket: ticket}
-	c.running[req.Team]++
+	c.teamRequests[req.Team]++
 	if c.queue.Waiting(req.Team) == 0 {
-		c.shares[req.Team] = &Rate{}
+		c.teamRates[req.Team] = &Rate{}
 	}
 	evicted := c.queue.Push(ticket.item)
 	if evicted == ticket.item {
-		c.uncount(req.Team)
+		c.releaseSlot(req.Team)
 		return nil, c.refusal("the queue is full", c.drainTime(now))
 	}
 	if evicted != nil {
-		c.evict(evicted, "the queue is full", now)
+		c.refuseQueued(evicted, "the queue is full", now)
 	}
-	c.kick(now)
+	c.dispatch(now)
 	return ticket, nil
 }
 
-// evict gives a waiting request its final answer.
-func (c *Controller) evict(item *Item, reason string, now time.Time) {
-	c.uncount(item.Team)
+// refuseQueued refuses a request that was taken out of the queue.
+func (c *Controller) refuseQueued(item *Item, reason string, now time.Time) {
+	c.releaseSlot(item.Team)
 	item.ticket.err = c.refusal(reason, c.drainTime(now))
 	close(item.ticket.placed)
 }
 
-// drainTime is how long all that waits takes at the present rate.
+// drainTime returns how long the queue takes to empty at the current rate.
 func (c *Controller) drainTime(now time.Time) time.Duration {
-	return waitFor(c.queue.Len(), c.rate.PerSecond(now))
+	return timeToServe(c.queue.Len(), c.rate.PerSecond(now))
 }
 
-// expectedWait is how long a new request of a team would wait.
+// expectedWait returns how long a new request of a team would wait.
 func (c *Controller) expectedWait(req Request, now time.Time) time.Duration {
 	return c.waitBehind(req.Team, req.Weight, c.queue.Waiting(req.Team), now)
 }
 
-// waitBehind is how long a request waits that has n of its team before it: for all that go first as the queue is, or
-// at the rate at which the team has had its turns since it began to wait, whichever is longer.
+// waitBehind returns the expected wait of a request behind n others of its team: the longer of the estimates by the whole
+// queue's rate and by the team's own.
 func (c *Controller) waitBehind(team string, weight, n int, now time.Time) time.Duration {
-	wait := waitFor(c.queue.Ahead(team, weight, n), c.rate.PerSecond(now))
-	if own := c.shares[team]; own != nil {
-		wait = max(wait, waitFor(n, own.PerSecond(now)))
+	wait := timeToServe(c.queue.Ahead(team, weight, n), c.rate.PerSecond(now))
+	if own := c.teamRates[team]; own != nil {
+		wait = max(wait, timeToServe(n, own.PerSecond(now)))
 	}
 	return wait
 }
 
-func waitFor(waiting int, perSecond float64) time.Duration {
+func timeToServe(waiting int, perSecond float64) time.Duration {
 	if perSecond <= 0 {
 		return 0
 	}
 	return time.Duration(float64(waiting) / perSecond * float64(time.Second))
 }
 
-// giveUp takes a request out of the queue; one that got its turn at the same moment keeps it.
-func (c *Controller) giveUp(ticket *Ticket, reason string) (string, error) {
+// abandon takes a request out of the queue, unless it was dispatched at the same time.
+func (c *Controller) abandon(ticket *Ticket, reason string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ticket.item != nil && c.queue.Remove(ticket.item) {
-		c.uncount(ticket.req.Team)
+		c.releaseSlot(ticket.req.Team)
 		return "", c.refusal(reason, c.drainTime(time.Now()))
 	}
 	box, ok := <-ticket.placed
@@ -225,16 +225,16 @@
 
 func (c *Controller) grant(ticket *Ticket, box string, now time.Time) {
 	if ticket.item == nil {
-		c.running[ticket.req.Team]++
+		c.teamRequests[ticket.req.Team]++
 	}
-	c.rate.Note(now)
-	if share := c.shares[ticket.req.Team]; share != nil {
-		share.Note(now)
+	c.rate.Record(now)
+	if teamRate := c.teamRates[ticket.req.Team]; teamRate != nil {
+		teamRate.Record(now)
 	}
 	ticket.placed <- box
 }
 
-func (c *Controller) kick(now time.Time) {
+func (c *Controller) dispatch(now time.Time) {
 	for {
 		item, ok := c.queue.Peek()
 		if !ok {
@@ -242,7 +242,7 @@
 		}
 		if now.After(item.Deadline) {
 			c.queue.Remove(item)
-			c.evict(item, "the deadline passed while waiting", now)
+			c.refuseQueued(item, "the deadline passed while waiting", now)
 			continue
 		}
 		box, ok := item.ticket.req.Place()
@@ -254,11 +254,11 @@
 	}
 }
 
-// uncount takes one request, waiting or running, off a team's count.
-func (c *Controller) uncount(team string) {
-	c.running[team]--
-	if c.running[team] <= 0 {
-		delete(c.running, team)
+// releaseSlot removes one request, waiting or running, from the team's count.
+func (c *Controller) releaseSlot(team string) {
+	c.teamRequests[team]--
+	if c.teamRequests[team] <= 0 {
+		delete(c.teamRequests, team)
 	}
 }
 
--- a/admit/doc.go
+++ b/admit/doc.go
@@ -1,4 +1,4 @@
-// Package admit decides which requests wait, which go next and which are
-// refused at once: a bounded queue per service, with fair shares for the teams
-// and order by priority and deadline within a team.
+// Package admit queues the requests of each service for a box. The queue is bounded
+// and fair between teams; within a team it orders by priority, then deadline.
+// Requests that cannot meet their deadline are refused without waiting.
 package admit
--- a/admit/queue.go
+++ b/admit/queue.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Item is a request that waits.
+// Item is a waiting request.
 type Item struct {
 	Team string
-	// Weight is the team's share; 0 counts as 1.
+	// Weight is the team's relative share; 0 counts as 1.
 	Weight int
-	// Priority puts higher numbers of the same team first.
+	// Priority orders the requests of a team, highest first.
 	Priority int
 	Deadline time.Time
 
@@ -20,14 +20,13 @@
 	ticket *Ticket
 }
 
-// Queue holds the waiting requests of one service, in order; it is not safe for concurrent use.
-// The team that has been served least for its weight goes first (stride scheduling).
+// Queue orders the waiting requests of one service by stride scheduling over the teams. It is not safe for concurrent use.
 type Queue struct {
-	limit int
-	size  int
-	seq   uint64
-	clock float64
-	teams map[string]*teamQueue
+	limit       int
+	size        int
+	seq         uint64
+	virtualTime float64
+	teams       map[string]*teamQueue
 }
 
 type teamQueue struct {
@@ -41,16 +40,16 @@
 	return &Queue{limit: limit, teams: make(map[string]*teamQueue)}
 }
 
-// Charge counts a request that went ahead without waiting against its team's share.
+// Charge counts a request that did not have to wait against its team's share.
 func (q *Queue) Charge(team string, weight int) {
 	t := q.team(team, weight)
-	t.pass = max(t.pass, q.clock) + 1/float64(t.weight)
+	t.pass = max(t.pass, q.virtualTime) + 1/float64(t.weight)
 }
 
 // Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.size }
 
-// Peek returns the request that goes next.
+// Peek returns the next request without removing it.
 func (q *Queue) Peek() (*Item, bool) {
 	t := q.next()
 	if t == nil {
@@ -59,25 +58,25 @@
 	return t.items[0], true
 }
 
-// Pop removes the request that goes next.
+// Pop removes and returns the next request.
 func (q *Queue) Pop() (*Item, bool) {
 	t := q.next()
 	if t == nil {
 		return nil, false
 	}
 	item := t.items[0]
-	q.clock = max(q.clock, t.pass)
-	t.pass = max(t.pass, q.clock) + 1/float64(t.weight)
+	q.virtualTime = max(q.virtualTime, t.pass)
+	t.pass = max(t.pass, q.virtualTime) + 1/float64(t.weight)
 	q.Remove(item)
 	return item, true
 }
 
-// Push adds a request. When the queue is full the last request of the team that is furthest over its share has to
-// go, which may be the new one: it is returned as evicted.
+// Push adds a request. When the queue is full it evicts and returns the last request of the team with the most requests for
+// its weight, which may be the new one.
 func (q *Queue) Push(item *Item) (evicted *Item) {
 	t := q.team(item.Team, item.Weight)
 	if len(t.items) == 0 {
-		t.pass = max(t.pass, q.clock)
+		t.pass = max(t.pass, q.virtualTime)
 	}
 	q.seq++
 	item.seq = q.seq
@@ -86,12 +85,12 @@
 	if q.size <= q.limit {
 		return nil
 	}
-	evicted = q.worst()
+	evicted = q.evictionCandidate()
 	q.Remove(evicted)
 	return evicted
 }
 
-// Remove takes a request out, wherever it waits; it reports whether it waited.
+// Remove removes a request and reports whether it was in the queue.
 func (q *Queue) Remove(item *Item) bool {
 	t := q.teams[item.Team]
 	if t == nil || item.index < 0 || item.index >= len(t.items) || t.items[item.index] != item {
@@ -103,17 +102,17 @@
 	return true
 }
 
-// Last returns the last request of a team, and how many of the team wait.
+// Last returns a team's last request and how many requests of the team wait.
 func (q *Queue) Last(team string) (last *Item, waiting int) {
 	t := q.teams[team]
 	if t == nil || len(t.items) == 0 {
 		return nil, 0
 	}
-	return t.last(), len(t.items)
+	return t.lastItem(), len(t.items)
 }
 
-// Ahead returns how many requests get their turn before one of a team that has n of its own before it, if no more
-// come: by weight each other team has so many turns meanwhile, or as many as it has requests.
+// Ahead returns how many requests go before one that is behind n others of its team, if no more arrive. By stride scheduling
+// each other team gets turns in proportion to its weight, up to its number of requests.
 func (q *Queue) Ahead(team string, weight, n int) int {
 	ahead := n
 	for name, t := range q.teams {
@@ -124,7 +123,7 @@
 	return ahead
 }
 
-// Waiting returns how many requests of a team wait.
+// Waiting returns the number of a team's waiting requests.
 func (q *Queue) Waiting(team string) int {
 	t := q.teams[team]
 	if t == nil {
@@ -133,7 +132,7 @@
 	return len(t.items)
 }
 
-// Teams returns the teams that have requests waiting.
+// Teams returns the teams with waiting requests.
 func (q *Queue) Teams() []string {
 	var teams []string
 	for name, t := range q.teams {
@@ -144,7 +143,7 @@
 	return teams
 }
 
-// next returns the team whose turn it is; nil when nobody waits.
+// next returns the team to serve next, nil if the queue is empty.
 func (q *Queue) next() *teamQueue {
 	var best *teamQueue
 	for _, t := range q.teams {
@@ -168,22 +167,21 @@
 	return t
 }
 
-// worst returns the last request of the team with the most waiting for its weight.
-func (q *Queue) worst() *Item {
-	var worst *teamQueue
+// evictionCandidate returns the last request of the team with the most requests for its weight.
+func (q *Queue) evictionCandidate() *Item {
+	var largest *teamQueue
 	for _, t := range q.teams {
 		if len(t.items) == 0 {
 			continue
 		}
-		if worst == nil || t.over(worst) {
-			worst = t
+		if largest == nil || t.exceeds(largest) {
+			largest = t
 		}
 	}
-	return worst.last()
+	return largest.lastItem()
 }
 
-// last returns the request of the team that would go last.
-func (t *teamQueue) last() *Item {
+func (t *teamQueue) lastItem() *Item {
 	last := t.items[0]
 	for _, item := range t.items {
 		if itemLess(last, item) {
@@ -193,7 +191,7 @@
 	return last
 }
 
-func (t *teamQueue) over(other *teamQueue) bool {
+func (t *teamQueue) exceeds(other *teamQueue) bool {
 	mine, theirs := len(t.items)*other.weight, len(other.items)*t.weight
 	if mine != theirs {
 		return mine > theirs
@@ -201,7 +199,7 @@
 	return t.items[0].seq > other.items[0].seq
 }
 
-// itemHeap orders the requests of one team: priority, then deadline, then arrival.
+// itemHeap orders the requests of one team by priority, then deadline, then arrival.
 type itemHeap []*Item
 
 func (h itemHeap) Len() int           { return len(h) }
@@ -212,14 +210,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push appends an item; it is called by the heap package.
+// Push implements heap.Interface.
 func (h *itemHeap) Push(x any) {
 	item := x.(*Item)
 	item.index = len(*h)
 	*h = append(*h, item)
 }
 
-// Pop removes the last item; it is called by the heap package.
+// Pop implements heap.Interface.
 func (h *itemHeap) Pop() any {
 	old := *h
 	item := old[len(old)-1]
--- a/admit/rate.go
+++ b/admit/rate.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// rateWindow is the time over which the drain rate is smoothed.
+// rateWindow is the time over which the rate is smoothed.
 const rateWindow = 2 * time.Second
 
-// Rate measures how many requests a second get their turn; a zero Rate has seen none.
+// Rate measures how many requests are dispatched per second. The zero value is ready to use.
 type Rate struct {
-	value float64
-	since time.Time
-	count int
+	value       float64
+	windowStart time.Time
+	count       int
 }
 
-// Note counts one request that got its turn.
-func (r *Rate) Note(now time.Time) {
+// Record counts one dispatched request.
+func (r *Rate) Record(now time.Time) {
 	r.advance(now)
 	r.count++
 }
 
-// PerSecond returns the rate; 0 while it is not known.
+// PerSecond returns the rate, 0 while it is unknown.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	r.advance(now)
 	return r.value
 }
 
-// advance closes the current window once it is over; the newest window weighs half.
+// advance ends the measuring interval once it is long enough; the latest interval has half the weight.
 func (r *Rate) advance(now time.Time) {
-	if r.since.IsZero() {
-		r.since = now
+	if r.windowStart.IsZero() {
+		r.windowStart = now
 		return
 	}
-	elapsed := now.Sub(r.since)
+	elapsed := now.Sub(r.windowStart)
 	if elapsed < rateWindow/4 {
 		return
 	}
-	fresh := float64(r.count) / elapsed.Seconds()
+	latest := float64(r.count) / elapsed.Seconds()
 	if r.value == 0 {
-		r.value = fresh
+		r.value = latest
 	} else {
-		r.value = (r.value + fresh) / 2
+		r.value = (r.value + latest) / 2
 	}
-	r.since, r.count = now, 0
+	r.windowStart, r.count = now, 0
 }
