--- a/admission/policy.go
+++ b/admission/policy.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// firstAttemptShare is the largest queueing delay of a first attempt, as a fraction of the service's tightest latency goal.
-	firstAttemptShare = 0.8
+	// firstTryShare is the largest queueing delay of a first try, as a fraction of the service's tightest latency goal.
+	firstTryShare = 0.8
 	// retryShare is the same fraction for a retry at full pressure. It is lower because a retry has already missed its goal
 	// and would take the place of a request that can still meet it.
 	retryShare = 0.3
 	// saturatedPressure is the pressure from which retries are limited to retryShare. Below it the limit rises linearly to
-	// firstAttemptShare, so that retries succeed soon after a short overload.
+	// firstTryShare, so that retries succeed soon after a short overload.
 	saturatedPressure = 0.1
-	// pressureSmoothing is the weight of the latest first attempt in the moving average.
+	// pressureSmoothing is the weight of the latest first try in the moving average.
 	pressureSmoothing = 0.05
 	// routeTTL is how long a route without requests still limits the others.
 	routeTTL = 30 * time.Second
@@ -32,7 +32,7 @@
 type Policy struct {
 	mu     sync.Mutex
 	routes map[string]routeState
-	// pressure is a moving average of the fraction of first attempts refused.
+	// pressure is a moving average of the fraction of first tries refused.
 	pressure float64
 }
 
@@ -52,15 +52,15 @@
 	p.routes[ask.Kind] = routeState{goal: ask.Goal, lastSeen: now}
 }
 
-// LetIn reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first attempt, 0 for
-// a first attempt.
+// LetIn reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first try, 0 for
+// a first try.
 func (p *Policy) LetIn(ask Ask, sinceFirst, queueDelay time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sinceFirst > 0 {
 		return queueDelay <= p.maxDelay(ask, p.retryShare())
 	}
-	admitted := queueDelay <= p.maxDelay(ask, firstAttemptShare)
+	admitted := queueDelay <= p.maxDelay(ask, firstTryShare)
 	refused := 1.0
 	if admitted {
 		refused = 0
@@ -69,7 +69,7 @@
 	return admitted
 }
 
-// Pressure returns the recent fraction of first attempts that were refused, 0 to 1.
+// Pressure returns the recent fraction of first tries that were refused, 0 to 1.
 func (p *Policy) Pressure() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -78,7 +78,7 @@
 
 // retryShare returns the fraction of the tightest goal that a retry may wait at the current pressure; mu is held.
 func (p *Policy) retryShare() float64 {
-	return firstAttemptShare - (firstAttemptShare-retryShare)*min(1, p.pressure/saturatedPressure)
+	return firstTryShare - (firstTryShare-retryShare)*min(1, p.pressure/saturatedPressure)
 }
 
 // maxDelay returns the longest queueing delay at which a request is admitted. It uses the tightest goal of all active routes,
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -15,7 +15,7 @@
 	short = Ask{Kind: "short", Goal: ms(300)}
 )
 
-// refusePercent has the policy refuse a percentage of first attempts until its pressure has settled.
+// refusePercent has the policy refuse a percentage of first tries until its pressure has settled.
 func refusePercent(p *Policy, percent int) {
 	for i := range 400 {
 		queueDelay := time.Duration(0)
@@ -44,13 +44,13 @@
 		delay   time.Duration
 		want    bool
 	}{
-		"first attempt that meets its goal":                            {0, long, 0, ms(200), true},
-		"first attempt that misses its goal":                           {0, long, 0, ms(400), false},
+		"first try that meets its goal":                                {0, long, 0, ms(200), true},
+		"first try that misses its goal":                               {0, long, 0, ms(400), false},
 		"route with a wider goal is limited by the tightest one":       {0, long, 0, ms(260), false},
 		"route with the tightest goal":                                 {0, short, 0, ms(230), true},
-		"retry without pressure is treated as a first attempt":         {0, long, ms(900), ms(200), true},
+		"retry without pressure is treated as a first try":             {0, long, ms(900), ms(200), true},
 		"retry under full pressure is refused":                         {20, long, ms(900), ms(200), false},
-		"first attempt under full pressure is admitted":                {20, long, 0, ms(200), true},
+		"first try under full pressure is admitted":                    {20, long, 0, ms(200), true},
 		"retry under full pressure with a short delay is admitted":     {20, long, ms(900), ms(80), true},
 		"retry under partial pressure with a medium delay is admitted": {5, long, ms(900), ms(150), true},
 		"retry under partial pressure with a long delay is refused":    {5, long, ms(900), ms(230), false},
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestPressureCountsFirstAttemptsOnly(t *testing.T) {
+func TestPressureCountsFirstTriesOnly(t *testing.T) {
 	var p Policy
 	refusePercent(&p, 30)
 	before := p.Pressure()
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// deadlineTolerance is how far the deadlines of two attempts of one request may differ by network delay and rounding.
+	// deadlineTolerance is how far the deadlines of two tries of one request may differ by network delay and rounding.
 	deadlineTolerance = 30 * time.Millisecond
 	// retryWindow is how long a refusal is kept; callers retry after the advised delay or a third of their remaining time,
 	// whichever is shorter.
@@ -15,7 +15,7 @@
 	maxRefusals = 16384
 )
 
-// Refusal is a refused attempt: the request's fingerprint, the time of its first attempt and the caller's deadline, zero if
+// Refusal is a refused try: the request's fingerprint, the time of its first try and the caller's deadline, zero if
 // it gave none.
 type Refusal struct {
 	Print uint64
@@ -23,7 +23,7 @@
 	Ends  time.Time
 }
 
-// Returns tells retries from first attempts by the refusals of this and other entries. The zero value is empty and safe for
+// Returns tells retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
 // concurrent use.
 type Returns struct {
 	mu            sync.Mutex
@@ -52,7 +52,7 @@
 	}
 }
 
-// Take returns the time of a request's first attempt if the request retries a refused one. Each refusal matches once; equal
+// Take returns the time of a request's first try if the request retries a refused one. Each refusal matches once; equal
 // requests are told apart by their deadlines.
 func (r *Returns) Take(fingerprint uint64, deadline, now time.Time) (first time.Time, ok bool) {
 	r.mu.Lock()
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// refusedAt returns a refusal at start of a request first attempted before that, with left until its deadline.
+// refusedAt returns a refusal at start of a request first tryed before that, with left until its deadline.
 func refusedAt(fingerprint uint64, before, left time.Duration) Refusal {
 	return Refusal{Print: fingerprint, First: start.Add(-before), Ends: start.Add(left)}
 }
@@ -37,7 +37,7 @@
 			now := start.Add(test.at)
 			first, ok := r.Take(test.print, now.Add(test.left), now)
 			if ok != test.want || ok && !first.Equal(refusal.First) {
-				t.Errorf("matched %t, first attempt at %s; want %t", ok, first.Sub(start), test.want)
+				t.Errorf("matched %t, first try at %s; want %t", ok, first.Sub(start), test.want)
 			}
 			if _, again := r.Take(test.print, now.Add(test.left), now); again {
 				t.Error("one refusal matched twice")
@@ -60,24 +60,24 @@
 	}
 }
 
-// TestRetryDetectionAccuracy checks that few attempts are misclassified when callers' timeouts differ and a third of the
+// TestRetryDetectionAccuracy checks that few tries are misclassified when callers' timeouts differ and a third of the
 // requests are equal.
 func TestRetryDetectionAccuracy(t *testing.T) {
 	const callers, rate, wait = 20000, 300, 6 * time.Second
 	for name, spread := range map[string]float64{"equal": 0, "by 0.15": 0.15, "by 0.4": 0.4} {
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(spread*100)))
-			type attempt struct {
+			type try struct {
 				at    time.Time
 				print uint64
 				ends  time.Time
 				retry bool
 			}
 			var r Returns
-			var retries []attempt
+			var retries []try
 			wrong, sent := 0, 0
 			now := start
-			send := func(one attempt) {
+			send := func(one try) {
 				jitter := time.Duration(rng.IntN(8)) * time.Millisecond
 				_, matched := r.Take(one.print, one.ends.Add(jitter), one.at)
 				sent++
@@ -87,7 +87,7 @@
 				if !one.retry && rng.IntN(4) == 0 {
 					r.Note(Refusal{Print: one.print, First: one.at, Ends: one.ends}, one.at)
 					after := ms(400 + rng.IntN(900))
-					retries = append(retries, attempt{at: one.at.Add(after), print: one.print, ends: one.ends, retry: true})
+					retries = append(retries, try{at: one.at.Add(after), print: one.print, ends: one.ends, retry: true})
 				}
 			}
 			for i := range callers {
@@ -102,7 +102,7 @@
 					fingerprint = 1 + uint64(rng.IntN(20))
 				}
 				patience := time.Duration((1 - spread*rng.Float64()) * float64(wait)).Round(time.Millisecond)
-				send(attempt{at: now, print: fingerprint, ends: now.Add(patience)})
+				send(try{at: now, print: fingerprint, ends: now.Add(patience)})
 			}
 			if share := float64(wrong) / float64(sent); share > 0.02 {
 				t.Errorf("%.1f%% of requests misclassified", 100*share)
