--- a/pushback/doc.go
+++ b/pushback/doc.go
@@ -1,4 +1,3 @@
-// Package pushback is what a server asks of those who call it in the heads of its
-// answers: to send nothing more since it leaves, nothing for a while, or no more
-// than so many requests a second.
+// Package pushback paces requests by the signals in a server's response headers:
+// that it is leaving, wants a pause, or limits its callers' total request rate.
 package pushback
--- a/pushback/limit.go
+++ b/pushback/limit.go
@@ -6,92 +6,93 @@
 )
 
 const (
-	// usedShare is the part of a limit that callers use: they see their number late, and their intervals meet at random.
-	usedShare = 0.75
-	// leastRate is what all callers together send at least to a server, in requests a second: only an answer tells that its limit is
-	// over, and a server of which none comes any more would stay limited.
-	leastRate = 0.1
-	// permitLife is for how long a request may go that did not when it might: permits of all callers that had gathered in a pause
-	// would reach the server at once.
-	permitLife = time.Second
-	// longestInterval stands for never.
-	longestInterval = time.Hour
+	// usableFraction is the fraction of a limit that callers use: each learns late how many there are, and their sends may
+	// coincide.
+	usableFraction = 0.75
+	// minTotalRate is the rate, in requests per second over all callers, that is sent under any limit: only a response can lift
+	// a limit.
+	minTotalRate = 0.1
+	// sendWindow is how long after its scheduled time a request may still be sent. Unused sends are not saved up, so that
+	// callers do not send a burst after a pause.
+	sendWindow = time.Second
+	// maxInterval stands for never.
+	maxInterval = time.Hour
 )
 
-// Hearing is when and by whom a word was heard.
+// Hearing says when a signal was received, and by which caller.
 type Hearing struct {
-	// Sent is when the request went whose answer holds the word, At when that came.
+	// Sent is when the request was sent whose response holds the signal, At when that response arrived.
 	Sent, At time.Time
-	// Share is the part of what a server takes that is this caller's, 0 to 1.
+	// Share is this caller's fraction of the server's limit, 0 to 1.
 	Share float64
-	// Phase is where in its first interval the caller's first request may go, 0 to 1; callers draw it at random.
+	// Phase is the position of the first send in the first interval, 0 to 1; callers choose it at random.
 	Phase float64
 }
 
-// Limit paces one caller's requests to a server that takes only so many a second from all callers together: each keeps to its share, at
-// even intervals that begin at a moment of its own, so that callers need not know each other. The zero Limit bounds nothing.
+// Limit paces one caller's requests to a server that limits the total rate of all its callers. Each caller sends its share
+// at even intervals with a random phase, without coordination. The zero Limit allows everything.
 type Limit struct {
-	on   bool
-	rate float64
-	// heard is when the latest word came that holds, next when the next request may go.
-	heard time.Time
-	next  time.Time
+	active bool
+	rate   float64
+	// receivedAt is when the signal in force was received, nextSend when the next request may be sent.
+	receivedAt time.Time
+	nextSend   time.Time
 }
 
-// With returns the limit after a word. One that allows more counts only if its request went after the word that holds was heard: answers
-// overtake each other, and which of two was said later is not known.
-func (l Limit) With(word Word, by Hearing) Limit {
-	if l.on && (!word.Limited || word.Limit > l.rate) && by.Sent.Before(l.heard) {
+// With returns the limit after a signal. A signal that allows more applies only if its request was sent after the signal in
+// force was received: responses may arrive out of order.
+func (l Limit) With(signal Word, by Hearing) Limit {
+	if l.active && (!signal.Limited || signal.Limit > l.rate) && by.Sent.Before(l.receivedAt) {
 		return l
 	}
-	if !word.Limited {
+	if !signal.Limited {
 		return Limit{}
 	}
-	every := interval(word.Limit, by.Share)
+	every := interval(signal.Limit, by.Share)
 	wait := time.Duration(by.Phase * float64(every))
-	if old := interval(l.rate, by.Share); l.on && old > 0 {
-		// The caller keeps its place between two requests.
-		wait = time.Duration(float64(every) * min(1, max(0, l.next.Sub(by.At).Seconds()/old.Seconds())))
+	if old := interval(l.rate, by.Share); l.active && old > 0 {
+		// Keep the caller's position between two sends.
+		wait = time.Duration(float64(every) * min(1, max(0, l.nextSend.Sub(by.At).Seconds()/old.Seconds())))
 	}
-	return Limit{on: true, rate: word.Limit, heard: by.At, next: by.At.Add(wait)}
+	return Limit{active: true, rate: signal.Limit, receivedAt: by.At, nextSend: by.At.Add(wait)}
 }
 
-// Wait returns how long it takes until a request may go; 0 when it may now.
+// Wait returns the delay until a request may be sent, 0 if it may be sent now.
 func (l Limit) Wait(now time.Time, share float64) time.Duration {
-	if !l.on {
+	if !l.active {
 		return 0
 	}
-	every, since := interval(l.rate, share), now.Sub(l.next)
+	every, since := interval(l.rate, share), now.Sub(l.nextSend)
 	switch {
 	case share <= 0:
-		return longestInterval
+		return maxInterval
 	case since < 0:
 		return -since
-	case every > 0 && since%every > permitLife:
+	case every > 0 && since%every > sendWindow:
 		return every - since%every
 	default:
 		return 0
 	}
 }
 
-// WithSent returns the limit after a request has gone.
+// WithSent returns the limit after a request was sent.
 func (l Limit) WithSent(now time.Time, share float64) Limit {
-	if !l.on {
+	if !l.active {
 		return l
 	}
 	every := interval(l.rate, share)
-	if since := now.Sub(l.next); since > 0 && every > 0 {
-		l.next = now.Add(-(since % every))
+	if since := now.Sub(l.nextSend); since > 0 && every > 0 {
+		l.nextSend = now.Add(-(since % every))
 	}
-	l.next = l.next.Add(every)
+	l.nextSend = l.nextSend.Add(every)
 	return l
 }
 
-// interval returns the time between two requests of a caller with a share of a limit.
+// interval returns the time between two requests of a caller that has a share of a rate limit.
 func interval(rate, share float64) time.Duration {
-	seconds := 1 / (max(usedShare*rate, leastRate) * share)
-	if math.IsNaN(seconds) || seconds < 0 || seconds > longestInterval.Seconds() {
-		return longestInterval
+	seconds := 1 / (max(usableFraction*rate, minTotalRate) * share)
+	if math.IsNaN(seconds) || seconds < 0 || seconds > maxInterval.Seconds() {
+		return maxInterval
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/pushback/word.go
+++ b/pushback/word.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Word is what one answer of a server asks for; the zero Word asks for nothing.
+// Word is the pushback signal in one response of a server; the zero Word asks for nothing.
 type Word struct {
-	// Leaving says that the server takes nothing new any more.
+	// Leaving says that the server accepts no new requests.
 	Leaving bool
-	// Rest is for how long the server wants nothing from this caller.
+	// Rest is how long this caller should send nothing to the server.
 	Rest time.Duration
-	// Limited says that the server named how many requests it takes from all callers together: Limit a second, which may be 0.
+	// Limited says that the server limits the total rate of all callers, to Limit requests per second, which may be 0.
 	Limited bool
 	Limit   float64
 }
