--- a/quarantine/copy.go
+++ b/quarantine/copy.go
@@ -9,53 +9,52 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// A store that comes back from a copy lacks the latest records. Each entry keeps what it knows and stores again what is its own at
-// once; what others told is stored again by whoever finds it missing first, some seconds later, since those who told it may be gone.
-
 const (
-	// othersAfter is how long the own records of other entries have to come back, othersSpread how much longer an entry waits at
-	// most: of 60 entries the first writes some 0.1 s after the least wait, and the others hear of that from the feed.
-	othersAfter  = 2 * time.Second
-	othersSpread = 6 * time.Second
+	// restoreDelay is how long an entry waits for other entries to rewrite their own records. A random delay of up to
+	// restoreJitter is added, so that one entry rewrites the rest and the others see its writes first.
+	restoreDelay  = 2 * time.Second
+	restoreJitter = 6 * time.Second
 )
 
-// takeCopy learns the records of a copy, keeps those that it lacks and has them stored again.
-func (q *Quarantine) takeCopy(ctx context.Context, records Records) {
+// mergeRestored merges the records of a store that was restored from a backup, and stores known records that it lacks:
+// this entry's own immediately, those of other entries after a delay, since their entries may no longer run.
+func (q *Quarantine) mergeRestored(ctx context.Context, records Records) {
 	q.mu.Lock()
-	own, others := q.lacking(records)
+	own, others := q.missingFrom(records)
 	q.mu.Unlock()
-	q.take(records.without(slices.Concat(own, others)), false)
+	q.merge(records.without(slices.Concat(own, others)), false)
 	q.mu.Lock()
 	for _, key := range own {
 		q.pending[key] = true
 	}
 	for _, key := range others {
-		q.lost[key] = true
+		q.missing[key] = true
 	}
 	q.mu.Unlock()
 	if len(own)+len(others) > 0 {
 		q.opts.Log.WithField("own", len(own)).WithField("others", len(others)).Warn("quarantine: the store came back without records; they are stored again")
 	}
-	q.wake()
+	q.requestWrite()
 	if len(others) == 0 {
 		return
 	}
-	time.AfterFunc(othersAfter+rand.N(othersSpread), func() {
+	time.AfterFunc(restoreDelay+rand.N(restoreJitter), func() {
 		if ctx.Err() == nil {
-			q.storeLost()
+			q.rewriteMissing()
 		}
 	})
 }
 
-// lacking returns the keys of the records that a copy lacks or knows less of, those of this entry apart; mu is held.
-func (q *Quarantine) lacking(records Records) (own, others []string) {
+// missingFrom returns the keys of records that are missing or less complete in a restored store, this entry's own and those
+// of other entries; mu is held.
+func (q *Quarantine) missingFrom(records Records) (own, others []string) {
 	var stored Ledger
-	stored.Take(records, clock.Now())
+	stored.Merge(records, clock.Now())
 	for _, key := range q.ledger.Keys() {
-		if stored.tells(key, &q.ledger) {
+		if stored.covers(key, &q.ledger) {
 			continue
 		}
-		if q.ledger.ends[key].Entry == q.opts.Entry {
+		if q.ledger.exits[key].Entry == q.opts.Entry {
 			own = append(own, key)
 		} else {
 			others = append(others, key)
@@ -64,13 +63,13 @@
 	return own, others
 }
 
-// storeLost has the records stored that have not come back.
-func (q *Quarantine) storeLost() {
+// rewriteMissing stores the missing records that no entry has rewritten yet.
+func (q *Quarantine) rewriteMissing() {
 	q.mu.Lock()
-	for key := range q.lost {
+	for key := range q.missing {
 		q.pending[key] = true
 	}
-	clear(q.lost)
+	clear(q.missing)
 	q.mu.Unlock()
-	q.wake()
+	q.requestWrite()
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,6 +1,4 @@
-// Package quarantine keeps requests from all servers under which servers end. An
-// entry tells it which of its requests were in progress at each server that ended,
-// and which have been answered; a ledger of what all entries told decides which
-// requests are held. Entries share what they know through a store, so that a
-// request that comes again elsewhere, or after a restart, is known there too.
+// Package quarantine withholds requests that crash servers. Each entry records which
+// of its requests were in flight when a server exited, and which later got a response.
+// Entries share these records through a store, so that all of them recognise a retry.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,13 +6,13 @@
 	"encoding/hex"
 )
 
-// fingerprintSize is the length of a fingerprint in bytes: enough that no caller can have the request of another one held.
+// fingerprintSize is in bytes, long enough that no caller can forge the fingerprint of another caller's request.
 const fingerprintSize = 16
 
-// Fingerprint tells a request that comes again, whatever id it then has.
+// Fingerprint identifies equal requests regardless of their IDs.
 type Fingerprint [fingerprintSize]byte
 
-// FingerprintOf returns the fingerprint of a request by its caller, where it goes and its body.
+// FingerprintOf returns the fingerprint of a request by its caller, method, host, target and body.
 func FingerprintOf(caller, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{caller, method, host, target} {
@@ -25,7 +25,7 @@
 	return f
 }
 
-// ParseFingerprint reads what String wrote; ok is false for anything else.
+// ParseFingerprint parses the hexadecimal form that String returns; ok is false if text is malformed.
 func ParseFingerprint(text string) (f Fingerprint, ok bool) {
 	if hex.DecodedLen(len(text)) != len(f) {
 		return Fingerprint{}, false
@@ -34,5 +34,5 @@
 	return f, err == nil
 }
 
-// String returns the fingerprint in hexadecimal digits.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-func TestFingerprintTellsRequestsApart(t *testing.T) {
+func TestFingerprintDistinguishesRequests(t *testing.T) {
 	first := FingerprintOf("team", "POST", "h", "/a/b", []byte("body"))
 	for name, test := range map[string]struct {
 		other Fingerprint
 		same  bool
 	}{
-		"the same again":           {FingerprintOf("team", "POST", "h", "/a/b", []byte("body")), true},
-		"another caller":           {FingerprintOf("other", "POST", "h", "/a/b", []byte("body")), false},
-		"another path":             {FingerprintOf("team", "POST", "h", "/a/c", []byte("body")), false},
-		"another body":             {FingerprintOf("team", "POST", "h", "/a/b", []byte("bodies")), false},
-		"the same bytes elsewhere": {FingerprintOf("team", "POST", "h/a", "/b", []byte("body")), false},
+		"equal request":                {FingerprintOf("team", "POST", "h", "/a/b", []byte("body")), true},
+		"different caller":             {FingerprintOf("other", "POST", "h", "/a/b", []byte("body")), false},
+		"different path":               {FingerprintOf("team", "POST", "h", "/a/c", []byte("body")), false},
+		"different body":               {FingerprintOf("team", "POST", "h", "/a/b", []byte("bodies")), false},
+		"same bytes split differently": {FingerprintOf("team", "POST", "h/a", "/b", []byte("body")), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if same := test.other == first; same != test.same {
@@ -21,9 +21,9 @@
 		})
 	}
 	if again, ok := ParseFingerprint(first.String()); !ok || again != first {
-		t.Errorf("read as %s, %t", again, ok)
+		t.Errorf("parsed as %s, %t", again, ok)
 	}
 	if _, ok := ParseFingerprint("not one"); ok {
-		t.Error("anything is read as a fingerprint")
+		t.Error("malformed text is parsed as a fingerprint")
 	}
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -6,113 +6,112 @@
 	"time"
 )
 
-// mostRecords bounds what is kept, some 3 kB each where a server has 15 places; beyond it the oldest are forgotten, those of requests
-// that are held last.
-const mostRecords = 1024
+// maxRecords bounds memory; the oldest records are evicted first, those of quarantined requests last.
+const maxRecords = 1024
 
-// Ledger is what is known of ends of servers and decides by it which requests are held; the zero value knows nothing. It is not
-// safe for concurrent use.
+// Ledger keeps exit and response records and derives from them which requests are quarantined. The zero value is empty. It is
+// not safe for concurrent use.
 type Ledger struct {
-	ends    map[string]End
-	answers map[string]Answer
-	// since is when each record was learned, by its key.
-	since map[string]time.Time
-	// versions tell how often each record has changed, by its key.
+	exits     map[string]End
+	responses map[string]Answer
+	// learnedAt is when each record was first learned, by its key.
+	learnedAt map[string]time.Time
+	// versions counts the changes of each record, by its key.
 	versions map[string]int
-	// told holds the keys of the records of a life, lives those that ended with a request in progress.
-	told  map[string][]string
-	lives map[Fingerprint][]string
-	held  map[Fingerprint]bool
-}
-
-// Take learns records and forgets those that are gone; it reports whether another request is held now.
-func (l *Ledger) Take(records Records, now time.Time) bool {
-	if l.ends == nil {
-		l.ends, l.answers, l.since = make(map[string]End), make(map[string]Answer), make(map[string]time.Time)
-		l.versions, l.told, l.lives = make(map[string]int), make(map[string][]string), make(map[Fingerprint][]string)
-	}
-	for _, end := range records.Ends {
-		old := l.ends[end.Key()]
-		if l.learned(end.Key(), !slices.Equal(end.Requests, old.Requests), now) {
-			l.removeEnd(old)
-			l.addEnd(end)
+	// keysByIncarnation holds the keys of an incarnation's exit records, incarnations those that exited with a request in flight.
+	keysByIncarnation map[string][]string
+	incarnations      map[Fingerprint][]string
+	quarantined       map[Fingerprint]bool
+}
+
+// Merge merges records and drops removed ones; it reports whether another request is quarantined as a result.
+func (l *Ledger) Merge(records Records, now time.Time) bool {
+	if l.exits == nil {
+		l.exits, l.responses, l.learnedAt = make(map[string]End), make(map[string]Answer), make(map[string]time.Time)
+		l.versions, l.keysByIncarnation, l.incarnations = make(map[string]int), make(map[string][]string), make(map[Fingerprint][]string)
+	}
+	for _, exit := range records.Ends {
+		old := l.exits[exit.Key()]
+		if l.track(exit.Key(), !slices.Equal(exit.Requests, old.Requests), now) {
+			l.removeExit(old)
+			l.addExit(exit)
 		}
 	}
-	for _, answer := range records.Answers {
-		// Entries write it independently of one another.
-		answer.Lives = slices.Compact(slices.Sorted(slices.Values(slices.Concat(answer.Lives, l.answers[answer.Key()].Lives))))
-		l.learned(answer.Key(), !slices.Equal(answer.Lives, l.answers[answer.Key()].Lives), now)
-		l.answers[answer.Key()] = answer
+	for _, response := range records.Answers {
+		// Entries write the record independently, so both lists are kept.
+		response.Lives = slices.Compact(slices.Sorted(slices.Values(slices.Concat(response.Lives, l.responses[response.Key()].Lives))))
+		l.track(response.Key(), !slices.Equal(response.Lives, l.responses[response.Key()].Lives), now)
+		l.responses[response.Key()] = response
 	}
 	for _, key := range records.Gone {
-		l.forget(key)
+		l.remove(key)
 	}
-	l.bound()
-	return l.judge()
+	l.evict()
+	return l.evaluate()
 }
 
-// Reset takes records that are all there are.
-func (l *Ledger) Reset(records Records, now time.Time) bool {
+// Replace merges the complete set of records and drops all others; it reports as Merge does.
+func (l *Ledger) Replace(records Records, now time.Time) bool {
 	for _, key := range l.Keys() {
 		if !slices.ContainsFunc(records.Ends, func(e End) bool { return e.Key() == key }) &&
 			!slices.ContainsFunc(records.Answers, func(a Answer) bool { return a.Key() == key }) {
 			records.Gone = append(records.Gone, key)
 		}
 	}
-	return l.Take(records, now)
+	return l.Merge(records, now)
 }
 
-// Held reports whether a request is kept from all servers.
-func (l *Ledger) Held(request Fingerprint) bool { return l.held[request] }
+// IsQuarantined reports whether a request is quarantined.
+func (l *Ledger) IsQuarantined(request Fingerprint) bool { return l.quarantined[request] }
 
-// AnyHeld reports whether any request is held.
-func (l *Ledger) AnyHeld() bool { return len(l.held) > 0 }
+// AnyQuarantined reports whether any request is quarantined.
+func (l *Ledger) AnyQuarantined() bool { return len(l.quarantined) > 0 }
 
-// Empty reports whether no server has ended with a request in progress, as far as is known.
-func (l *Ledger) Empty() bool { return len(l.lives) == 0 }
+// Empty reports whether no server is known to have exited with a request in flight.
+func (l *Ledger) Empty() bool { return len(l.incarnations) == 0 }
 
-// Lives returns the lives of servers that ended with a request in progress and that no answer to it explains.
-func (l *Ledger) Lives(request Fingerprint) []string {
-	answered := l.Answer(request).Lives
-	return slices.DeleteFunc(slices.Sorted(slices.Values(l.lives[request])), func(life string) bool { return slices.Contains(answered, life) })
+// Incarnations returns the server incarnations that exited with a request in flight and are not cleared by a later response.
+func (l *Ledger) Incarnations(request Fingerprint) []string {
+	answered := l.Response(request).Lives
+	return slices.DeleteFunc(slices.Sorted(slices.Values(l.incarnations[request])), func(incarnation string) bool { return slices.Contains(answered, incarnation) })
 }
 
-// End returns what an entry told of a life.
-func (l *Ledger) End(life, entry string) End {
-	end, known := l.ends[End{Life: life, Entry: entry}.Key()]
+// Exit returns an entry's record of an incarnation's exit, an empty one if there is none.
+func (l *Ledger) Exit(incarnation, entry string) End {
+	exit, known := l.exits[End{Life: incarnation, Entry: entry}.Key()]
 	if !known {
-		return End{Life: life, Entry: entry}
+		return End{Life: incarnation, Entry: entry}
 	}
-	return end
+	return exit
 }
 
-// Answer returns what was told of a request's answer.
-func (l *Ledger) Answer(request Fingerprint) Answer {
-	answer, known := l.answers[Answer{Request: request}.Key()]
+// Response returns a request's response record, an empty one if there is none.
+func (l *Ledger) Response(request Fingerprint) Answer {
+	response, known := l.responses[Answer{Request: request}.Key()]
 	if !known {
 		return Answer{Request: request}
 	}
-	return answer
+	return response
 }
 
 // Keys returns the keys of all records.
-func (l *Ledger) Keys() []string { return slices.Collect(maps.Keys(l.since)) }
+func (l *Ledger) Keys() []string { return slices.Collect(maps.Keys(l.learnedAt)) }
 
-// Older returns the keys of records that were learned before a time.
-func (l *Ledger) Older(than time.Time) []string {
+// LearnedBefore returns the keys of records that were learned before a time.
+func (l *Ledger) LearnedBefore(t time.Time) []string {
 	var keys []string
-	for key, at := range l.since {
-		if at.Before(than) {
+	for key, at := range l.learnedAt {
+		if at.Before(t) {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// learned notes a record that may have changed; it reports whether it is new or has.
-func (l *Ledger) learned(key string, changed bool, now time.Time) bool {
-	if _, known := l.since[key]; !known {
-		l.since[key] = now
+// track updates the bookkeeping of a record that may have changed and reports whether it is new or changed.
+func (l *Ledger) track(key string, changed bool, now time.Time) bool {
+	if _, known := l.learnedAt[key]; !known {
+		l.learnedAt[key] = now
 		changed = true
 	}
 	if changed {
@@ -121,107 +120,107 @@
 	return changed
 }
 
-// addEnd files a record by its life and its requests.
-func (l *Ledger) addEnd(end End) {
-	l.ends[end.Key()] = end
-	l.told[end.Life] = append(l.told[end.Life], end.Key())
-	for _, request := range end.Requests {
-		if !slices.Contains(l.lives[request], end.Life) {
-			l.lives[request] = append(l.lives[request], end.Life)
+// addExit indexes an exit record by its incarnation and requests.
+func (l *Ledger) addExit(exit End) {
+	l.exits[exit.Key()] = exit
+	l.keysByIncarnation[exit.Life] = append(l.keysByIncarnation[exit.Life], exit.Key())
+	for _, request := range exit.Requests {
+		if !slices.Contains(l.incarnations[request], exit.Life) {
+			l.incarnations[request] = append(l.incarnations[request], exit.Life)
 		}
 	}
 }
 
-// removeEnd takes a record back; what another entry told of the same life stays.
-func (l *Ledger) removeEnd(end End) {
-	key := end.Key()
-	if _, known := l.ends[key]; !known {
+// removeExit removes an exit record; other entries' records of the same incarnation stay.
+func (l *Ledger) removeExit(exit End) {
+	key := exit.Key()
+	if _, known := l.exits[key]; !known {
 		return
 	}
-	delete(l.ends, key)
-	l.told[end.Life] = slices.DeleteFunc(l.told[end.Life], func(other string) bool { return other == key })
-	for _, request := range end.Requests {
-		if !slices.ContainsFunc(l.told[end.Life], func(other string) bool { return slices.Contains(l.ends[other].Requests, request) }) {
-			l.lives[request] = slices.DeleteFunc(l.lives[request], func(life string) bool { return life == end.Life })
+	delete(l.exits, key)
+	l.keysByIncarnation[exit.Life] = slices.DeleteFunc(l.keysByIncarnation[exit.Life], func(other string) bool { return other == key })
+	for _, request := range exit.Requests {
+		if !slices.ContainsFunc(l.keysByIncarnation[exit.Life], func(other string) bool { return slices.Contains(l.exits[other].Requests, request) }) {
+			l.incarnations[request] = slices.DeleteFunc(l.incarnations[request], func(incarnation string) bool { return incarnation == exit.Life })
 		}
-		if len(l.lives[request]) == 0 {
-			delete(l.lives, request)
+		if len(l.incarnations[request]) == 0 {
+			delete(l.incarnations, request)
 		}
 	}
-	if len(l.told[end.Life]) == 0 {
-		delete(l.told, end.Life)
+	if len(l.keysByIncarnation[exit.Life]) == 0 {
+		delete(l.keysByIncarnation, exit.Life)
 	}
 }
 
-// Changes returns the records that have changed since others were told, and notes in told that they are.
-func (l *Ledger) Changes(told map[string]int) Records {
+// Changes returns the records that changed since the versions in sent, and updates sent. Its keys are those of records.
+func (l *Ledger) Changes(sent map[string]int) Records {
 	var records Records
-	for key := range told {
+	for key := range sent {
 		if _, known := l.versions[key]; !known {
 			records.Gone = append(records.Gone, key)
-			delete(told, key)
+			delete(sent, key)
 		}
 	}
 	for key, version := range l.versions {
-		if told[key] == version {
+		if sent[key] == version {
 			continue
 		}
-		told[key] = version
-		if end, ok := l.ends[key]; ok {
-			records.Ends = append(records.Ends, end)
+		sent[key] = version
+		if exit, ok := l.exits[key]; ok {
+			records.Ends = append(records.Ends, exit)
 		}
-		if answer, ok := l.answers[key]; ok {
-			records.Answers = append(records.Answers, answer)
+		if response, ok := l.responses[key]; ok {
+			records.Answers = append(records.Answers, response)
 		}
 	}
 	return records
 }
 
-func (l *Ledger) forget(key string) {
-	l.removeEnd(l.ends[key])
-	delete(l.answers, key)
-	delete(l.since, key)
+func (l *Ledger) remove(key string) {
+	l.removeExit(l.exits[key])
+	delete(l.responses, key)
+	delete(l.learnedAt, key)
 	delete(l.versions, key)
 }
 
-// bound forgets records beyond the most that are kept.
-func (l *Ledger) bound() {
-	if len(l.since) <= mostRecords {
+// evict removes the oldest records beyond maxRecords.
+func (l *Ledger) evict() {
+	if len(l.learnedAt) <= maxRecords {
 		return
 	}
-	keys := slices.SortedFunc(maps.Keys(l.since), func(a, b string) int {
-		if heldA, heldB := l.ofHeld(a), l.ofHeld(b); heldA != heldB {
-			if heldB {
+	keys := slices.SortedFunc(maps.Keys(l.learnedAt), func(a, b string) int {
+		if inA, inB := l.concernsQuarantined(a), l.concernsQuarantined(b); inA != inB {
+			if inB {
 				return -1
 			}
 			return 1
 		}
-		return l.since[a].Compare(l.since[b])
+		return l.learnedAt[a].Compare(l.learnedAt[b])
 	})
-	for _, key := range keys[:len(keys)-mostRecords] {
-		l.forget(key)
+	for _, key := range keys[:len(keys)-maxRecords] {
+		l.remove(key)
 	}
 }
 
-// ofHeld reports whether a record is of a request that is held.
-func (l *Ledger) ofHeld(key string) bool {
-	return slices.ContainsFunc(l.ends[key].Requests, func(request Fingerprint) bool { return l.held[request] })
+// concernsQuarantined reports whether a record is the exit record of a quarantined request.
+func (l *Ledger) concernsQuarantined(key string) bool {
+	return slices.ContainsFunc(l.exits[key].Requests, func(request Fingerprint) bool { return l.quarantined[request] })
 }
 
-// judge decides anew which requests are held; it reports whether another one is.
-func (l *Ledger) judge() bool {
+// evaluate recomputes the quarantined requests and reports whether one was added.
+func (l *Ledger) evaluate() bool {
 	suspects := make(map[Fingerprint][]string)
-	for request, lives := range l.lives {
-		if len(lives) < endsToHold {
+	for request, incarnations := range l.incarnations {
+		if len(incarnations) < quarantineThreshold {
 			continue
 		}
-		if lives = l.Lives(request); len(lives) >= endsToHold {
-			suspects[request] = lives
+		if incarnations = l.Incarnations(request); len(incarnations) >= quarantineThreshold {
+			suspects[request] = incarnations
 		}
 	}
-	old := l.held
-	l.held = verdict(suspects)
-	for request := range l.held {
+	old := l.quarantined
+	l.quarantined = selectQuarantined(suspects)
+	for request := range l.quarantined {
 		if !old[request] {
 			return true
 		}
@@ -229,15 +228,15 @@
 	return false
 }
 
-// tells reports whether a ledger knows as much of a record as another does.
-func (l *Ledger) tells(key string, other *Ledger) bool {
-	if _, known := l.since[key]; !known {
+// covers reports whether this ledger's record is at least as complete as another ledger's.
+func (l *Ledger) covers(key string, other *Ledger) bool {
+	if _, known := l.learnedAt[key]; !known {
 		return false
 	}
-	return containsAll(l.ends[key].Requests, other.ends[key].Requests) && containsAll(l.answers[key].Lives, other.answers[key].Lives)
+	return containsAll(l.exits[key].Requests, other.exits[key].Requests) && containsAll(l.responses[key].Lives, other.responses[key].Lives)
 }
 
-// containsAll reports whether all of some things are among others.
+// containsAll reports whether all contains every element of some.
 func containsAll[T comparable](all, some []T) bool {
 	return !slices.ContainsFunc(some, func(one T) bool { return !slices.Contains(all, one) })
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -8,100 +8,100 @@
 	"time"
 )
 
-// named returns a fingerprint for a name.
-func named(name string) Fingerprint { return FingerprintOf("team", "POST", "h", "/"+name, nil) }
+// testPrint returns the fingerprint of a test request.
+func testPrint(name string) Fingerprint { return FingerprintOf("team", "POST", "h", "/"+name, nil) }
 
-// atEnd returns the end of a life with requests in progress.
-func atEnd(life, entry string, requests ...string) End {
-	end := End{Life: life, Entry: entry}
+// newExit returns the exit record of an incarnation with requests in flight.
+func newExit(incarnation, entry string, requests ...string) End {
+	exit := End{Life: incarnation, Entry: entry}
 	for _, name := range requests {
-		end.Requests = append(end.Requests, named(name))
+		exit.Requests = append(exit.Requests, testPrint(name))
 	}
-	return end
+	return exit
 }
 
-// TestVerdicts proves which requests are held by what was in progress at servers that ended.
+// TestVerdicts checks which requests are quarantined for the exits they were in flight at, in any order of the records.
 func TestVerdicts(t *testing.T) {
 	for name, test := range map[string]struct {
-		records Records
-		held    []string
+		records     Records
+		quarantined []string
 	}{
-		"nothing": {},
-		"two ends": {
-			records: Records{Ends: []End{atEnd("1", "a", "x"), atEnd("2", "a", "x")}},
+		"no exits": {},
+		"two exits": {
+			records: Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "a", "x")}},
 		},
-		"three ends at one entry": {
-			records: Records{Ends: []End{atEnd("1", "a", "x"), atEnd("2", "a", "x"), atEnd("3", "a", "x")}},
-			held:    []string{"x"},
+		"three exits at one entry": {
+			records:     Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}},
+			quarantined: []string{"x"},
 		},
-		"three ends, each at another entry": {
-			records: Records{Ends: []End{atEnd("1", "a", "x"), atEnd("2", "b", "x"), atEnd("3", "c", "x")}},
-			held:    []string{"x"},
+		"three exits at three entries": {
+			records:     Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "b", "x"), newExit("3", "c", "x")}},
+			quarantined: []string{"x"},
 		},
-		"one end that three entries tell": {
-			records: Records{Ends: []End{atEnd("1", "a", "x"), atEnd("1", "b", "x"), atEnd("1", "c", "x")}},
+		"one exit recorded by three entries": {
+			records: Records{Ends: []End{newExit("1", "a", "x"), newExit("1", "b", "x"), newExit("1", "c", "x")}},
 		},
-		"one that was beside it three times of four": {
-			records: Records{Ends: []End{atEnd("1", "a", "x", "y"), atEnd("2", "a", "x", "y"), atEnd("3", "a", "x", "y"), atEnd("4", "a", "x")}},
-			held:    []string{"x"},
+		"bystander at three of four exits": {
+			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y"), newExit("4", "a", "x")}},
+			quarantined: []string{"x"},
 		},
-		"one that was beside it each time": {
-			records: Records{Ends: []End{atEnd("1", "a", "x", "y"), atEnd("2", "a", "x", "y"), atEnd("3", "a", "x", "y")}},
-			held:    []string{"x", "y"},
+		"bystander at every exit": {
+			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y")}},
+			quarantined: []string{"x", "y"},
 		},
-		"two of them that met": {
-			records: Records{Ends: []End{atEnd("1", "a", "x", "y"), atEnd("2", "a", "x"), atEnd("3", "a", "x"), atEnd("4", "a", "y"), atEnd("5", "a", "y"), atEnd("6", "a", "y")}},
-			held:    []string{"x", "y"},
+		"two causes that share an exit": {
+			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "a", "y"), newExit("5", "a", "y"), newExit("6", "a", "y")}},
+			quarantined: []string{"x", "y"},
 		},
-		"one that was beside two others": {
+		"bystander of two causes": {
 			records: Records{Ends: []End{
-				atEnd("1", "a", "x", "z"), atEnd("2", "a", "x", "z"), atEnd("3", "a", "x"), atEnd("4", "a", "x"),
-				atEnd("5", "a", "y", "z"), atEnd("6", "a", "y"), atEnd("7", "a", "y"), atEnd("8", "a", "y"),
+				newExit("1", "a", "x", "z"), newExit("2", "a", "x", "z"), newExit("3", "a", "x"), newExit("4", "a", "x"),
+				newExit("5", "a", "y", "z"), newExit("6", "a", "y"), newExit("7", "a", "y"), newExit("8", "a", "y"),
 			}},
-			held: []string{"x", "y"},
+			quarantined: []string{"x", "y"},
 		},
-		"one that was answered since": {
+		"response after the exits": {
 			records: Records{
-				Ends:    []End{atEnd("1", "a", "x"), atEnd("2", "a", "x"), atEnd("3", "a", "x")},
-				Answers: []Answer{{Request: named("x"), Lives: []string{"1", "2"}}},
+				Ends:    []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")},
+				Answers: []Answer{{Request: testPrint("x"), Lives: []string{"1", "2"}}},
 			},
 		},
-		"one that ended three more since its answer": {
+		"three more exits after a response": {
 			records: Records{
-				Ends:    []End{atEnd("1", "a", "x"), atEnd("2", "a", "x"), atEnd("3", "a", "x"), atEnd("4", "b", "x")},
-				Answers: []Answer{{Request: named("x"), Lives: []string{"1"}}},
+				Ends:    []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "b", "x")},
+				Answers: []Answer{{Request: testPrint("x"), Lives: []string{"1"}}},
 			},
-			held: []string{"x"},
+			quarantined: []string{"x"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for turn := range 3 {
+			for variant := range 3 {
 				var l Ledger
-				for _, i := range order(len(test.records.Ends), turn) {
-					l.Take(Records{Ends: test.records.Ends[i : i+1]}, time.Now())
+				for _, i := range permute(len(test.records.Ends), variant) {
+					l.Merge(Records{Ends: test.records.Ends[i : i+1]}, time.Now())
 				}
-				l.Take(Records{Answers: test.records.Answers}, time.Now())
-				var held []string
+				l.Merge(Records{Answers: test.records.Answers}, time.Now())
+				var quarantined []string
 				for _, name := range []string{"x", "y", "z"} {
-					if l.Held(named(name)) {
-						held = append(held, name)
+					if l.IsQuarantined(testPrint(name)) {
+						quarantined = append(quarantined, name)
 					}
 				}
-				if !slices.Equal(held, test.held) {
-					t.Errorf("order %d: held %q, want %q", turn, held, test.held)
+				if !slices.Equal(quarantined, test.quarantined) {
+					t.Errorf("order %d: quarantined %q, want %q", variant, quarantined, test.quarantined)
 				}
 			}
 		})
 	}
 }
 
-// order returns the numbers below n as they come, backwards and from the middle on.
-func order(n, turn int) []int {
+// permute returns the numbers below n ascending, descending, or rotated by half, by variant.
+func permute(n, variant int) []int {
 	numbers := make([]int, n)
 	for i := range numbers {
 		numbers[i] = i
 	}
-	switch turn {
+	switch variant {
 	case 1:
 		slices.Reverse(numbers)
 	case 2:
@@ -110,75 +110,75 @@
 	return numbers
 }
 
-// TestManyBesideAFew proves that requests by the hundred which servers took along are not held, however often that was.
+// TestManyBesideAFew checks that bystanders of a crashing request are not quarantined, however many exits they share.
 func TestManyBesideAFew(t *testing.T) {
 	var l Ledger
-	for end := range 40 {
+	for exit := range 40 {
 		requests := []string{"x"}
 		for n := range 15 {
-			requests = append(requests, strconv.Itoa((end*7+n*3)%60))
+			requests = append(requests, strconv.Itoa((exit*7+n*3)%60))
 		}
-		l.Take(Records{Ends: []End{atEnd(fmt.Sprint("life ", end), "a", requests...)}}, time.Now())
+		l.Merge(Records{Ends: []End{newExit(fmt.Sprint("incarnation ", exit), "a", requests...)}}, time.Now())
 	}
-	if !l.Held(named("x")) {
-		t.Error("the one at all ends is not held")
+	if !l.IsQuarantined(testPrint("x")) {
+		t.Error("the request in flight at every exit is not quarantined")
 	}
 	for n := range 60 {
-		if l.Held(named(strconv.Itoa(n))) {
-			t.Errorf("request %d is held, at %d of 40 ends", n, len(l.Lives(named(strconv.Itoa(n)))))
+		if l.IsQuarantined(testPrint(strconv.Itoa(n))) {
+			t.Errorf("request %d is quarantined, in flight at %d of 40 exits", n, len(l.Incarnations(testPrint(strconv.Itoa(n)))))
 		}
 	}
 }
 
-func TestLedgerForgets(t *testing.T) {
+func TestLedgerRemovesRecords(t *testing.T) {
 	now := time.Now()
-	ends := []End{atEnd("1", "a", "x"), atEnd("2", "a", "x"), atEnd("3", "a", "x")}
-	t.Run("records that are gone", func(t *testing.T) {
+	exits := []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}
+	t.Run("removed records", func(t *testing.T) {
 		var l Ledger
-		if !l.Take(Records{Ends: ends}, now) || l.Take(Records{Gone: []string{ends[1].Key()}}, now) || l.Held(named("x")) {
-			t.Error("it is held by an end that is gone")
+		if !l.Merge(Records{Ends: exits}, now) || l.Merge(Records{Gone: []string{exits[1].Key()}}, now) || l.IsQuarantined(testPrint("x")) {
+			t.Error("the request is quarantined by a removed record")
 		}
 	})
-	t.Run("records that are no longer stored", func(t *testing.T) {
+	t.Run("records no longer stored", func(t *testing.T) {
 		var l Ledger
-		l.Take(Records{Ends: ends}, now)
-		l.Reset(Records{Ends: ends[:2]}, now)
-		if l.Held(named("x")) || len(l.Keys()) != 2 {
-			t.Errorf("held: %t, %d records, want 2", l.Held(named("x")), len(l.Keys()))
+		l.Merge(Records{Ends: exits}, now)
+		l.Replace(Records{Ends: exits[:2]}, now)
+		if l.IsQuarantined(testPrint("x")) || len(l.Keys()) != 2 {
+			t.Errorf("quarantined: %t, %d records, want 2", l.IsQuarantined(testPrint("x")), len(l.Keys()))
 		}
 	})
-	t.Run("records beyond the most", func(t *testing.T) {
+	t.Run("records beyond the maximum", func(t *testing.T) {
 		var l Ledger
 		var records Records
-		for n := range mostRecords {
-			records.Ends = append(records.Ends, atEnd(fmt.Sprint("life ", n), "a", strconv.Itoa(n)))
+		for n := range maxRecords {
+			records.Ends = append(records.Ends, newExit(fmt.Sprint("incarnation ", n), "a", strconv.Itoa(n)))
 		}
-		l.Take(Records{Ends: ends}, now)
-		l.Take(Records{Ends: []End{atEnd("4", "a", "y")}}, now)
-		l.Take(records, now.Add(time.Second))
-		if !l.Held(named("x")) || len(l.Lives(named("y"))) > 0 || len(l.Keys()) != mostRecords {
-			t.Errorf("held: %t, %d ends of another, %d records, want %d", l.Held(named("x")), len(l.Lives(named("y"))), len(l.Keys()), mostRecords)
+		l.Merge(Records{Ends: exits}, now)
+		l.Merge(Records{Ends: []End{newExit("4", "a", "y")}}, now)
+		l.Merge(records, now.Add(time.Second))
+		if !l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) > 0 || len(l.Keys()) != maxRecords {
+			t.Errorf("quarantined: %t, %d exits of another request, %d records, want %d", l.IsQuarantined(testPrint("x")), len(l.Incarnations(testPrint("y"))), len(l.Keys()), maxRecords)
 		}
 	})
-	t.Run("what another entry still tells stays", func(t *testing.T) {
+	t.Run("records of another entry", func(t *testing.T) {
 		var l Ledger
-		l.Take(Records{Ends: ends}, now)
-		l.Take(Records{Ends: []End{atEnd("2", "b", "x", "y")}}, now)
-		l.Take(Records{Gone: []string{ends[1].Key()}}, now)
-		if !l.Held(named("x")) {
-			t.Error("it is not held any more")
+		l.Merge(Records{Ends: exits}, now)
+		l.Merge(Records{Ends: []End{newExit("2", "b", "x", "y")}}, now)
+		l.Merge(Records{Gone: []string{exits[1].Key()}}, now)
+		if !l.IsQuarantined(testPrint("x")) {
+			t.Error("the request is no longer quarantined")
 		}
-		l.Take(Records{Ends: []End{atEnd("2", "b", "y")}}, now)
-		if l.Held(named("x")) || len(l.Lives(named("y"))) != 1 {
-			t.Errorf("held by an end at which it was not; %d ends of another", len(l.Lives(named("y"))))
+		l.Merge(Records{Ends: []End{newExit("2", "b", "y")}}, now)
+		if l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) != 1 {
+			t.Errorf("the request is quarantined by an exit it was not in flight at; %d exits of another request", len(l.Incarnations(testPrint("y"))))
 		}
 	})
-	t.Run("old ones", func(t *testing.T) {
+	t.Run("old records", func(t *testing.T) {
 		var l Ledger
-		l.Take(Records{Ends: ends[:1]}, now.Add(-time.Hour))
-		l.Take(Records{Ends: ends}, now)
-		if old := l.Older(now.Add(-time.Minute)); !slices.Equal(old, []string{ends[0].Key()}) {
-			t.Errorf("old are %q", old)
+		l.Merge(Records{Ends: exits[:1]}, now.Add(-time.Hour))
+		l.Merge(Records{Ends: exits}, now)
+		if old := l.LearnedBefore(now.Add(-time.Minute)); !slices.Equal(old, []string{exits[0].Key()}) {
+			t.Errorf("old records are %q", old)
 		}
 	})
 }
--- a/quarantine/metrics.go
+++ b/quarantine/metrics.go
@@ -2,4 +2,4 @@
 
 import "github.com/VictoriaMetrics/metrics"
 
-var requestsHeld = metrics.NewGauge("coralstair_requests_held", nil)
+var requestsQuarantined = metrics.NewGauge("coralstair_requests_held", nil)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -14,182 +14,183 @@
 )
 
 const (
-	// KeepTime is how long an end is held against a request: long enough for an operator to see it, short enough for a request to
-	// be tried again once its engine has been mended.
+	// KeepTime is how long records are kept: long enough for an operator to notice, short enough that a request is accepted
+	// again after its engine was fixed.
 	KeepTime = time.Hour
-	// keepSpread is how much longer an entry keeps records at most, so that one entry removes them for all.
-	keepSpread = 10 * time.Minute
-	// mostRequests bounds the requests that are told of one end, by the places of a server; each takes 34 bytes at the store.
-	mostRequests = 128
-	// answersFrom is how many ends an answer has to explain for other entries to hear of it.
-	answersFrom = endsToHold - 1
+	// retentionJitter is the maximum time added per entry, so that usually one entry removes expired records for all.
+	retentionJitter = 10 * time.Minute
+	// maxRequestsPerExit bounds the requests in one exit record.
+	maxRequestsPerExit = 128
+	// minSharedExits is how many exits a response has to clear to be shared with other entries.
+	minSharedExits = quarantineThreshold - 1
 )
 
-// Options are those of a quarantine; without a store it knows what its own entry tells alone.
+// Options configure a Quarantine. Without a Store it has only its own entry's records.
 type Options struct {
 	Entry string
 	Store Store
 	Log   log.Interface
-	// Wait is how long a call for changes waits.
+	// Wait is the long-poll timeout of calls for changes.
 	Wait time.Duration
-	// Told reports whether another entry tells what is stored, so that it need not be read; nil where none does.
+	// Told reports whether a peer entry relays the stored records, so that the store is not read; nil means no peer does.
 	Told func() bool
 }
 
-// Quarantine tells which requests are held; it is safe for concurrent use.
+// Quarantine decides which requests are quarantined. It is safe for concurrent use.
 type Quarantine struct {
-	opts  Options
-	keep  time.Duration
-	woken chan struct{}
+	opts           Options
+	retention      time.Duration
+	writeRequested chan struct{}
 
 	mu      sync.Mutex
 	ledger  Ledger
 	pending map[string]bool
-	// lost holds the keys of records of other entries that a copy of the store lacks and that have not come back yet.
-	lost   map[string]bool
-	onNews func(held bool)
+	// missing holds the keys of other entries' records that a restored store lacks and nobody has rewritten yet.
+	missing  map[string]bool
+	onChange func(held bool)
 }
 
-// New returns a quarantine that knows nothing yet.
+// New returns an empty Quarantine.
 func New(opts Options) *Quarantine {
 	if opts.Log == nil {
 		opts.Log = log.Log
 	}
 	opts.Wait = cmp.Or(opts.Wait, view.DefaultWait)
 	return &Quarantine{
-		opts: opts, keep: KeepTime + rand.N(keepSpread), woken: make(chan struct{}, 1), pending: make(map[string]bool),
-		lost: make(map[string]bool),
+		opts: opts, retention: KeepTime + rand.N(retentionJitter), writeRequested: make(chan struct{}, 1), pending: make(map[string]bool),
+		missing: make(map[string]bool),
 	}
 }
 
-// OnNews has a function called each time something is learned; held says that another request is held by it.
+// OnNews sets a function that is called after each change of the records; held says that another request was quarantined.
 func (q *Quarantine) OnNews(call func(held bool)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.onNews = call
+	q.onChange = call
 }
 
-// Take learns what another entry tells of what is stored. Nothing is forgotten because another entry does not know it: it may have
-// started after the store came back from a copy.
-func (q *Quarantine) Take(records Records) { q.take(records, false) }
+// Take merges records relayed by a peer entry. It removes no record that the peer lacks: the peer may have started after the
+// store was restored from a backup.
+func (q *Quarantine) Take(records Records) { q.merge(records, false) }
 
-// Changes returns the records that have changed since another entry was told, and notes in told that it is.
-func (q *Quarantine) Changes(told map[string]int) Records {
+// Changes returns the records that changed since the versions in sent, by record key, and updates sent.
+func (q *Quarantine) Changes(sent map[string]int) Records {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Changes(told)
+	return q.ledger.Changes(sent)
 }
 
-// Ended learns that a life of a server has ended with requests of this entry in progress.
-func (q *Quarantine) Ended(life string, requests []Fingerprint) {
+// Ended records that a server incarnation has exited with requests of this entry in flight.
+func (q *Quarantine) Ended(incarnation string, requests []Fingerprint) {
 	q.mu.Lock()
-	end := q.ledger.End(life, q.opts.Entry)
-	end.Requests = slices.Clone(end.Requests)
+	exit := q.ledger.Exit(incarnation, q.opts.Entry)
+	exit.Requests = slices.Clone(exit.Requests)
 	for _, request := range requests {
-		if !slices.Contains(end.Requests, request) {
-			end.Requests = append(end.Requests, request)
+		if !slices.Contains(exit.Requests, request) {
+			exit.Requests = append(exit.Requests, request)
 		}
 	}
-	end.Requests = end.Requests[:min(len(end.Requests), mostRequests)]
-	q.pending[end.Key()] = true
-	news := q.ledger.Take(Records{Ends: []End{end}}, clock.Now())
+	exit.Requests = exit.Requests[:min(len(exit.Requests), maxRequestsPerExit)]
+	q.pending[exit.Key()] = true
+	added := q.ledger.Merge(Records{Ends: []End{exit}}, clock.Now())
 	q.mu.Unlock()
-	q.wake()
-	q.announce(news)
+	q.requestWrite()
+	q.notify(added)
 }
 
-// Answered learns that a server has answered a request, which explains all ends that are known of it.
+// Answered records that a server has responded to a request, which clears all its known exits.
 func (q *Quarantine) Answered(request Fingerprint) {
 	q.mu.Lock()
-	lives := q.ledger.Lives(request)
-	if len(lives) == 0 {
+	incarnations := q.ledger.Incarnations(request)
+	if len(incarnations) == 0 {
 		q.mu.Unlock()
 		return
 	}
-	answer := q.ledger.Answer(request)
-	answer.Lives = append(slices.Clone(answer.Lives), lives...)
-	if len(lives) >= answersFrom {
-		q.pending[answer.Key()] = true
+	response := q.ledger.Response(request)
+	response.Lives = append(slices.Clone(response.Lives), incarnations...)
+	if len(incarnations) >= minSharedExits {
+		q.pending[response.Key()] = true
 	}
-	news := q.ledger.Take(Records{Answers: []Answer{answer}}, clock.Now())
+	added := q.ledger.Merge(Records{Answers: []Answer{response}}, clock.Now())
 	q.mu.Unlock()
-	q.wake()
-	q.announce(news)
+	q.requestWrite()
+	q.notify(added)
 }
 
-// Held reports whether a request, of which the fingerprint is made only when it is needed, is kept from all servers.
+// Held reports whether a request is quarantined. It computes the fingerprint only if any request is.
 func (q *Quarantine) Held(request func() Fingerprint) bool {
 	q.mu.Lock()
-	some := q.ledger.AnyHeld()
+	anyQuarantined := q.ledger.AnyQuarantined()
 	q.mu.Unlock()
-	if !some {
+	if !anyQuarantined {
 		return false
 	}
 	f := request()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.ledger.Held(f)
+	return q.ledger.IsQuarantined(f)
 }
 
-// Empty reports whether no server is known to have ended with a request in progress.
+// Empty reports whether no server is known to have exited with a request in flight.
 func (q *Quarantine) Empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.ledger.Empty()
 }
 
-// take has the ledger learn what is stored; whole says that these are all records. What this entry has yet to store is newer.
-func (q *Quarantine) take(records Records, whole bool) {
+// merge merges stored records into the ledger; complete says that they are all records. Pending records of this entry are
+// newer and take precedence.
+func (q *Quarantine) merge(records Records, complete bool) {
 	q.mu.Lock()
-	for _, end := range records.Ends {
-		delete(q.lost, end.Key())
+	for _, exit := range records.Ends {
+		delete(q.missing, exit.Key())
 	}
-	for _, answer := range records.Answers {
-		delete(q.lost, answer.Key())
+	for _, response := range records.Answers {
+		delete(q.missing, response.Key())
 	}
 	own := q.pendingRecords()
 	records.Ends = append(slices.Clone(records.Ends), own.Ends...)
 	records.Answers = append(slices.Clone(records.Answers), own.Answers...)
-	learn := q.ledger.Take
-	if whole {
-		learn = q.ledger.Reset
+	apply := q.ledger.Merge
+	if complete {
+		apply = q.ledger.Replace
 	}
-	news := learn(records, clock.Now())
+	added := apply(records, clock.Now())
 	q.mu.Unlock()
-	q.announce(news)
+	q.notify(added)
 }
 
-// announce tells what is held, and of news those who asked for it.
-func (q *Quarantine) announce(news bool) {
+// notify updates the metric, logs an added request and calls the change callback.
+func (q *Quarantine) notify(added bool) {
 	q.mu.Lock()
-	call, held := q.onNews, len(q.ledger.held)
+	call, count := q.onChange, len(q.ledger.quarantined)
 	q.mu.Unlock()
-	requestsHeld.Set(float64(held))
-	if news {
-		q.opts.Log.WithField("held", held).Warn("quarantine: requests under which servers end are held")
+	requestsQuarantined.Set(float64(count))
+	if added {
+		q.opts.Log.WithField("held", count).Warn("quarantine: requests under which servers end are held")
 	}
 	if call != nil {
-		call(news)
+		call(added)
 	}
 }
 
-// pendingRecords returns what is to be stored; mu is held.
+// pendingRecords returns the records yet to be stored; mu is held.
 func (q *Quarantine) pendingRecords() Records {
 	var records Records
 	for key := range q.pending {
-		if end, ok := q.ledger.ends[key]; ok {
-			records.Ends = append(records.Ends, end)
+		if exit, ok := q.ledger.exits[key]; ok {
+			records.Ends = append(records.Ends, exit)
 		}
-		if answer, ok := q.ledger.answers[key]; ok {
-			records.Answers = append(records.Answers, answer)
+		if response, ok := q.ledger.responses[key]; ok {
+			records.Answers = append(records.Answers, response)
 		}
 	}
 	return records
 }
 
-func (q *Quarantine) wake() {
+func (q *Quarantine) requestWrite() {
 	select {
-	case q.woken <- struct{}{}:
+	case q.writeRequested <- struct{}{}:
 	default:
 	}
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,47 +17,47 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// sharedStore is a store that two entries share; it may be away, forget its history and lose answers.
+// sharedStore is an in-memory Store with injectable faults: outages, truncated history, lost responses and slow writes.
 type sharedStore struct {
-	mu      sync.Mutex
-	epoch   store.Epoch
-	cursor  int64
-	forgot  int64
-	ends    map[string]End
-	answers map[string]Answer
-	changes []change
-	changed chan struct{}
-	away    bool
-	lose    int
-	hang    int
-	slow    time.Duration
-	writes  int
+	mu             sync.Mutex
+	epoch          store.Epoch
+	cursor         int64
+	oldestPosition int64
+	exits          map[string]End
+	responses      map[string]Answer
+	changes        []change
+	changed        chan struct{}
+	unavailable    bool
+	lostResponses  int
+	hangingReads   int
+	writeDelay     time.Duration
+	writes         int
 }
 
 type change struct {
-	at  int64
-	key string
+	position int64
+	key      string
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
 func newSharedStore() *sharedStore {
-	return &sharedStore{ends: make(map[string]End), answers: make(map[string]Answer), changed: make(chan struct{})}
+	return &sharedStore{exits: make(map[string]End), responses: make(map[string]Answer), changed: make(chan struct{})}
 }
 
 func (s *sharedStore) Records(context.Context) (Records, view.Cursor, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return Records{}, view.Cursor{}, errAway
+	if s.unavailable {
+		return Records{}, view.Cursor{}, errUnavailable
 	}
-	return Records{Ends: slices.Collect(maps.Values(s.ends)), Answers: slices.Collect(maps.Values(s.answers))}, view.Cursor{Epoch: s.epoch, Place: s.cursor}, nil
+	return Records{Ends: slices.Collect(maps.Values(s.exits)), Answers: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Place: s.cursor}, nil
 }
 
 func (s *sharedStore) RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
 	s.mu.Lock()
-	hangs := s.hang > 0
-	s.hang--
+	hangs := s.hangingReads > 0
+	s.hangingReads--
 	s.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
@@ -65,12 +65,12 @@
 	}
 	for deadline := time.After(wait); ; {
 		s.mu.Lock()
-		records, at, away, changed := s.after(cursor.Place), view.Cursor{Epoch: s.epoch, Place: s.cursor}, s.away, s.changed
-		gone := cursor.Place < s.forgot || cursor.Epoch != s.epoch
+		records, at, unavailable, changed := s.changesAfter(cursor.Place), view.Cursor{Epoch: s.epoch, Place: s.cursor}, s.unavailable, s.changed
+		gone := cursor.Place < s.oldestPosition || cursor.Epoch != s.epoch
 		s.mu.Unlock()
 		switch {
-		case away:
-			return Records{}, view.Cursor{}, errAway
+		case unavailable:
+			return Records{}, view.Cursor{}, errUnavailable
 		case gone:
 			return Records{}, view.Cursor{}, &view.HistoryGoneError{}
 		case records.Size() > 0:
@@ -86,20 +86,20 @@
 	}
 }
 
-// after returns what has changed after a place in the history; mu is held.
-func (s *sharedStore) after(cursor int64) Records {
+// changesAfter returns the changes after a position in the history; mu is held.
+func (s *sharedStore) changesAfter(cursor int64) Records {
 	var records Records
 	for _, c := range s.changes {
-		if c.at <= cursor {
+		if c.position <= cursor {
 			continue
 		}
-		end, isEnd := s.ends[c.key]
-		answer, isAnswer := s.answers[c.key]
+		exit, isExit := s.exits[c.key]
+		response, isResponse := s.responses[c.key]
 		switch {
-		case isEnd:
-			records.Ends = append(records.Ends, end)
-		case isAnswer:
-			records.Answers = append(records.Answers, answer)
+		case isExit:
+			records.Ends = append(records.Ends, exit)
+		case isResponse:
+			records.Answers = append(records.Answers, response)
 		default:
 			records.Gone = append(records.Gone, c.key)
 		}
@@ -109,47 +109,47 @@
 
 func (s *sharedStore) WriteRecords(_ context.Context, records Records) error {
 	s.mu.Lock()
-	slow := s.slow
+	delay := s.writeDelay
 	s.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
-		return errAway
+	if s.unavailable {
+		return errUnavailable
 	}
 	s.writes++
 	s.cursor++
-	for _, end := range records.Ends {
-		s.ends[end.Key()] = end
-		s.changes = append(s.changes, change{s.cursor, end.Key()})
+	for _, exit := range records.Ends {
+		s.exits[exit.Key()] = exit
+		s.changes = append(s.changes, change{s.cursor, exit.Key()})
 	}
-	for _, answer := range records.Answers {
-		s.answers[answer.Key()] = answer
-		s.changes = append(s.changes, change{s.cursor, answer.Key()})
+	for _, response := range records.Answers {
+		s.responses[response.Key()] = response
+		s.changes = append(s.changes, change{s.cursor, response.Key()})
 	}
 	for _, key := range records.Gone {
-		delete(s.ends, key)
-		delete(s.answers, key)
+		delete(s.exits, key)
+		delete(s.responses, key)
 		s.changes = append(s.changes, change{s.cursor, key})
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	if s.lose > 0 {
-		s.lose--
-		return errAway
+	if s.lostResponses > 0 {
+		s.lostResponses--
+		return errUnavailable
 	}
 	return nil
 }
 
-// set changes the store.
-func (s *sharedStore) set(do func()) {
+// update runs a function with mu held.
+func (s *sharedStore) update(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 }
 
-// member runs the quarantine of an entry at a store until the test ends or stop is called.
-func member(t *testing.T, entry string, store Store) (q *Quarantine, stop func()) {
+// startEntry runs an entry's quarantine on a store until the test ends or stop is called.
+func startEntry(t *testing.T, entry string, store Store) (q *Quarantine, stop func()) {
 	t.Helper()
 	q = New(Options{Entry: entry, Store: store, Log: &log.Logger{Handler: discard.Default}, Wait: time.Second})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -161,136 +161,137 @@
 	return q, stop
 }
 
-// ended has entries learn of the ends of lives with a request, each at the next entry.
-func ended(request string, qs []*Quarantine, lives ...string) {
-	for i, life := range lives {
-		qs[i%len(qs)].Ended(life, []Fingerprint{named(request)})
+// recordExits records the exits of incarnations with a request in flight, at the entries in turn.
+func recordExits(request string, qs []*Quarantine, incarnations ...string) {
+	for i, incarnation := range incarnations {
+		qs[i%len(qs)].Ended(incarnation, []Fingerprint{testPrint(request)})
 	}
 }
 
-func (q *Quarantine) holds(request string) bool {
-	return q.Held(func() Fingerprint { return named(request) })
+func (q *Quarantine) isQuarantined(request string) bool {
+	return q.Held(func() Fingerprint { return testPrint(request) })
 }
 
-// TestEntriesShareWhatEnds proves that what each entry saw holds at all, and at those that start later, whatever befalls the store.
+// TestEntriesShareWhatEnds checks that exits recorded at different entries quarantine a request at all of them, also later
+// ones, despite faults of the store.
 func TestEntriesShareWhatEnds(t *testing.T) {
 	for name, test := range map[string]struct {
-		trouble func(s *sharedStore)
-		within  time.Duration
+		fault  func(s *sharedStore)
+		within time.Duration
 	}{
-		"all is well":             {func(*sharedStore) {}, 100 * time.Millisecond},
-		"answers to writes lost":  {func(s *sharedStore) { s.lose = 2 }, time.Second},
-		"connections fall silent": {func(s *sharedStore) { s.hang = 2 }, 3 * time.Second},
-		"the history is gone":     {func(s *sharedStore) { s.forgot = s.cursor + 10 }, time.Second},
-		"the store was away": {func(s *sharedStore) {
-			s.away = true
-			time.AfterFunc(2*time.Second, func() { s.set(func() { s.away = false }) })
+		"no fault":             {func(*sharedStore) {}, 100 * time.Millisecond},
+		"write responses lost": {func(s *sharedStore) { s.lostResponses = 2 }, time.Second},
+		"reads hang":           {func(s *sharedStore) { s.hangingReads = 2 }, 3 * time.Second},
+		"history truncated":    {func(s *sharedStore) { s.oldestPosition = s.cursor + 10 }, time.Second},
+		"store outage": {func(s *sharedStore) {
+			s.unavailable = true
+			time.AfterFunc(2*time.Second, func() { s.update(func() { s.unavailable = false }) })
 		}, 4 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := newSharedStore()
-				a, _ := member(t, "a", store)
-				b, stop := member(t, "b", store)
+				a, _ := startEntry(t, "a", store)
+				b, stop := startEntry(t, "b", store)
 				time.Sleep(time.Second)
-				store.set(func() { test.trouble(store) })
-				ended("x", []*Quarantine{a, b}, "1", "2", "3")
+				store.update(func() { test.fault(store) })
+				recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
 				time.Sleep(test.within)
 				for name, q := range map[string]*Quarantine{"a": a, "b": b} {
-					if !q.holds("x") || q.holds("y") {
-						t.Errorf("%s holds x: %t, y: %t", name, q.holds("x"), q.holds("y"))
+					if !q.isQuarantined("x") || q.isQuarantined("y") {
+						t.Errorf("%s: x quarantined: %t, y: %t", name, q.isQuarantined("x"), q.isQuarantined("y"))
 					}
 				}
 				stop()
-				again, _ := member(t, "b", store)
+				again, _ := startEntry(t, "b", store)
 				time.Sleep(2 * time.Second)
-				if !again.holds("x") {
-					t.Error("an entry that started later does not hold it")
+				if !again.isQuarantined("x") {
+					t.Error("the request is not quarantined at an entry that starts later")
 				}
 			})
 		})
 	}
 }
 
-// TestAnswersAreShared proves that an answer at one entry ends the hold at all.
+// TestAnswersAreShared checks that a response at one entry lifts the quarantine at all entries.
 func TestAnswersAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newSharedStore()
-		a, _ := member(t, "a", store)
-		b, _ := member(t, "b", store)
-		ended("x", []*Quarantine{a, b}, "1", "2", "3")
+		a, _ := startEntry(t, "a", store)
+		b, _ := startEntry(t, "b", store)
+		recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
 		time.Sleep(time.Second)
-		a.Answered(named("x"))
+		a.Answered(testPrint("x"))
 		time.Sleep(time.Second)
-		if a.holds("x") || b.holds("x") {
-			t.Errorf("held: %t, %t", a.holds("x"), b.holds("x"))
+		if a.isQuarantined("x") || b.isQuarantined("x") {
+			t.Errorf("quarantined: %t, %t", a.isQuarantined("x"), b.isQuarantined("x"))
 		}
-		ended("x", []*Quarantine{b}, "4", "5", "6")
+		recordExits("x", []*Quarantine{b}, "4", "5", "6")
 		time.Sleep(time.Second)
-		if !a.holds("x") || !b.holds("x") {
-			t.Errorf("held after three more ends: %t, %t", a.holds("x"), b.holds("x"))
+		if !a.isQuarantined("x") || !b.isQuarantined("x") {
+			t.Errorf("quarantined after three more exits: %t, %t", a.isQuarantined("x"), b.isQuarantined("x"))
 		}
 	})
 }
 
-// TestRecordsAreRemoved proves that ends are forgotten after a time, at the store too.
-func TestRecordsAreRemoved(t *testing.T) {
+// TestExpiredRecordsAreRemoved checks that records are removed after KeepTime, in the store too.
+func TestExpiredRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newSharedStore()
-		a, _ := member(t, "a", store)
-		b, _ := member(t, "b", store)
-		ended("x", []*Quarantine{a, b}, "1", "2", "3")
+		a, _ := startEntry(t, "a", store)
+		b, _ := startEntry(t, "b", store)
+		recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
 		time.Sleep(KeepTime - time.Minute)
-		if !a.holds("x") || !b.holds("x") {
-			t.Error("it is not held any more")
+		if !a.isQuarantined("x") || !b.isQuarantined("x") {
+			t.Error("the request is no longer quarantined")
 		}
-		time.Sleep(2*time.Minute + keepSpread)
-		store.set(func() {
-			if a.holds("x") || b.holds("x") || len(store.ends) > 0 {
-				t.Errorf("held: %t, %t, %d records stored", a.holds("x"), b.holds("x"), len(store.ends))
+		time.Sleep(2*time.Minute + retentionJitter)
+		store.update(func() {
+			if a.isQuarantined("x") || b.isQuarantined("x") || len(store.exits) > 0 {
+				t.Errorf("quarantined: %t, %t, %d records stored", a.isQuarantined("x"), b.isQuarantined("x"), len(store.exits))
 			}
 		})
 	})
 }
 
-// TestOneEndIsOneCall proves that what one end brings is stored in one call: calls are priced.
-func TestOneEndIsOneCall(t *testing.T) {
+// TestExitIsStoredInOneWrite checks that the requests of one exit are stored in one call, since calls are billed.
+func TestExitIsStoredInOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newSharedStore()
-		a, _ := member(t, "a", store)
+		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
 		for _, request := range []string{"x", "y", "z"} {
-			a.Ended("1", []Fingerprint{named(request)})
+			a.Ended("1", []Fingerprint{testPrint(request)})
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
-		store.set(func() {
-			if store.writes != 1 || len(store.ends[atEnd("1", "a").Key()].Requests) != 3 {
-				t.Errorf("%d calls, stored %v", store.writes, store.ends)
+		store.update(func() {
+			if store.writes != 1 || len(store.exits[newExit("1", "a").Key()].Requests) != 3 {
+				t.Errorf("%d write calls, stored %v", store.writes, store.exits)
 			}
 		})
 	})
 }
 
-// TestPendingRecordsAreNewer proves that what an entry has yet to store is not lost to what the store tells meanwhile.
-func TestPendingRecordsAreNewer(t *testing.T) {
+// TestPendingRecordsTakePrecedence checks that older records from the store do not overwrite records that are yet to be stored.
+func TestPendingRecordsTakePrecedence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newSharedStore()
-		a, _ := member(t, "a", store)
+		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
-		a.Ended("1", []Fingerprint{named("x")})
+		a.Ended("1", []Fingerprint{testPrint("x")})
 		time.Sleep(time.Second)
-		store.set(func() { store.away, store.slow = true, 500*time.Millisecond })
-		a.Ended("1", []Fingerprint{named("y")})
+		store.update(func() { store.unavailable, store.writeDelay = true, 500*time.Millisecond })
+		a.Ended("1", []Fingerprint{testPrint("y")})
 		time.Sleep(100 * time.Millisecond)
-		// The entry hears its older record once more, and that there are no others.
-		a.Take(Records{Ends: []End{atEnd("1", "a", "x")}})
-		a.take(Records{}, true)
+		// The entry receives its older record again, then an empty complete set.
+		a.Take(Records{Ends: []End{newExit("1", "a", "x")}})
+		a.merge(Records{}, true)
 		time.Sleep(time.Second)
-		store.set(func() { store.away = false })
+		store.update(func() { store.unavailable = false })
 		time.Sleep(3 * time.Second)
-		store.set(func() {
-			if stored := store.ends[atEnd("1", "a").Key()].Requests; len(stored) != 2 {
+		store.update(func() {
+			if stored := store.exits[newExit("1", "a").Key()].Requests; len(stored) != 2 {
 				t.Errorf("%d requests are stored, want 2", len(stored))
 			}
 		})
--- a/quarantine/sync.go
+++ b/quarantine/sync.go
@@ -12,85 +12,85 @@
 )
 
 const (
-	// gatherTime is how long what one end brings is gathered into one call: its connections break within milliseconds.
-	gatherTime = 20 * time.Millisecond
-	// writeTime bounds a call that writes: one on a connection that has fallen silent is made again on another.
-	writeTime  = time.Second
-	leastPause = 100 * time.Millisecond
-	mostPause  = 800 * time.Millisecond
-	sweepEvery = time.Minute
-	// toldCheck is how often it is looked whether another entry still tells what is stored.
-	toldCheck = 500 * time.Millisecond
+	// batchDelay collects the requests of one exit into one write: their connections break within milliseconds.
+	batchDelay = 20 * time.Millisecond
+	// writeTimeout bounds a write call, so that one on a dead connection is retried on another.
+	writeTimeout  = time.Second
+	minBackoff    = 100 * time.Millisecond
+	maxBackoff    = 800 * time.Millisecond
+	sweepInterval = time.Minute
+	// peerCheckInterval is how often to check whether a peer entry still relays the stored records.
+	peerCheckInterval = 500 * time.Millisecond
 )
 
-// Store keeps records for all entries.
+// Store shares the records of all entries.
 type Store interface {
-	// Records returns all records, RecordsAfter what has changed after a place in the store's history, at the latest after wait.
+	// Records returns all records. RecordsAfter is a long poll that returns the changes after cursor, none if wait passes.
 	Records(ctx context.Context) (Records, view.Cursor, error)
 	RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error)
-	// WriteRecords stores records and removes those that are gone; what is stored twice stands there once.
+	// WriteRecords stores records and removes those in Gone. It is idempotent.
 	WriteRecords(ctx context.Context, records Records) error
 }
 
-// ServeReads follows what other entries store until ctx ends.
+// ServeReads follows the store's records until ctx ends.
 func (q *Quarantine) ServeReads(ctx context.Context) error {
 	if q.opts.Store == nil {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	cursor, known, pause, wait := view.Cursor{}, false, leastPause, q.opts.Wait
+	cursor, known, pause, wait := view.Cursor{}, false, minBackoff, q.opts.Wait
 	for ctx.Err() == nil {
 		if q.opts.Told != nil && q.opts.Told() {
 			known = false
-			sleep(ctx, toldCheck)
+			sleep(ctx, peerCheckInterval)
 			continue
 		}
 		records, next, err := q.read(ctx, known, cursor, wait)
 		if err != nil {
-			// A call that waits at a store that is away may hang long after it is back.
+			// Do not long-poll an unreachable store: the call may hang long after the store has recovered.
 			wait = 0
 			known = known && !errors.As(err, new(*view.HistoryGoneError))
 			sleep(ctx, pause/2+rand.N(pause))
-			pause = min(2*pause, mostPause)
+			pause = min(2*pause, maxBackoff)
 			continue
 		}
 		switch {
 		case !known && next.Epoch > cursor.Epoch && cursor != view.Cursor{}:
-			q.takeCopy(ctx, records)
+			q.mergeRestored(ctx, records)
 		case !known || records.Size() > 0:
-			q.take(records, !known)
+			q.merge(records, !known)
 		}
-		cursor, known, pause, wait = next, true, leastPause, q.opts.Wait
+		cursor, known, pause, wait = next, true, minBackoff, q.opts.Wait
 	}
 	return ctx.Err()
 }
 
-// read makes one call; it is made anew when its answer is overdue.
+// read makes one call to the store and repeats a long poll whose response is overdue.
 func (q *Quarantine) read(ctx context.Context, known bool, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
 	if !known {
 		return q.opts.Store.Records(ctx)
 	}
-	type news struct {
+	type result struct {
 		records Records
 		cursor  view.Cursor
 	}
-	got, err := view.Reissued(ctx, wait, func(ctx context.Context, wait time.Duration) (news, error) {
+	got, err := view.Reissued(ctx, wait, func(ctx context.Context, wait time.Duration) (result, error) {
 		records, next, err := q.opts.Store.RecordsAfter(ctx, cursor, wait)
-		return news{records, next}, err
+		return result{records, next}, err
 	})
 	return got.records, got.cursor, err
 }
 
-// ServeWrites stores what this entry tells, and removes what is too old, until ctx ends.
+// ServeWrites stores this entry's pending records and removes expired ones until ctx ends.
 func (q *Quarantine) ServeWrites(ctx context.Context) error {
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-q.woken:
-			sleep(ctx, gatherTime)
+		case <-q.writeRequested:
+			sleep(ctx, batchDelay)
 			q.writePending(ctx)
 		case <-sweep.C:
 			q.sweep(ctx)
@@ -98,9 +98,9 @@
 	}
 }
 
-// writePending stores what is pending, however often it takes.
+// writePending stores the pending records and retries until it succeeds.
 func (q *Quarantine) writePending(ctx context.Context) {
-	for pause := leastPause; ctx.Err() == nil; pause = min(2*pause, mostPause) {
+	for pause := minBackoff; ctx.Err() == nil; pause = min(2*pause, maxBackoff) {
 		q.mu.Lock()
 		records, versions := q.pendingRecords(), maps.Clone(q.ledger.versions)
 		q.mu.Unlock()
@@ -112,13 +112,13 @@
 			sleep(ctx, pause/2+rand.N(pause))
 			continue
 		}
-		q.stored(versions)
+		q.clearPending(versions)
 	}
 }
 
-// stored notes that records are stored in versions. What has changed since is still pending; until it is stored, what the store
-// tells of it is older than what this entry knows.
-func (q *Quarantine) stored(versions map[string]int) {
+// clearPending marks the records as stored in the given versions. A record that has changed since stays pending: until it is
+// written, the stored one is older than this entry's.
+func (q *Quarantine) clearPending(versions map[string]int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for key := range q.pending {
@@ -128,25 +128,25 @@
 	}
 }
 
-// write stores records; there is nothing to do without a store.
+// write stores records. It does nothing without a store.
 func (q *Quarantine) write(ctx context.Context, records Records) error {
 	if q.opts.Store == nil || records.Size() == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return q.opts.Store.WriteRecords(ctx, records)
 }
 
-// sweep removes records that have been kept long enough; one that is not removed now is the next time.
+// sweep removes expired records; if the write fails, the next sweep retries.
 func (q *Quarantine) sweep(ctx context.Context) {
 	q.mu.Lock()
-	old := q.ledger.Older(clock.Now().Add(-q.keep))
+	old := q.ledger.LearnedBefore(clock.Now().Add(-q.retention))
 	q.mu.Unlock()
 	if len(old) == 0 || q.write(ctx, Records{Gone: old}) != nil {
 		return
 	}
-	q.take(Records{Gone: old}, false)
+	q.merge(Records{Gone: old}, false)
 }
 
 func sleep(ctx context.Context, pause time.Duration) {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -6,40 +6,39 @@
 	"slices"
 )
 
-// endsToHold is how many servers have to end under a request for it to be held. Fewer say little: of 76 requests that were by chance
-// at 77 ends of 12 servers within 15 s, 44 were at one, 22 at two and 10 at three or more.
-const endsToHold = 3
+// quarantineThreshold is how many server exits quarantine a request; fewer may be a coincidence.
+const quarantineThreshold = 3
 
-// verdict returns the requests that are held of those under which enough servers have ended, by their lives. A server ends under one
-// request and takes the others along: a request all of whose ends are shared with a held one that has more of them is not held.
-// Without that those 10 would be held beside the two that ended the servers.
-func verdict(lives map[Fingerprint][]string) map[Fingerprint]bool {
-	suspects := slices.SortedFunc(maps.Keys(lives), func(a, b Fingerprint) int {
-		if more := len(lives[b]) - len(lives[a]); more != 0 {
+// selectQuarantined returns the requests to quarantine among suspects, given by the incarnations that exited with them. One
+// request crashes a server while others are in flight, so a request is exempt if it shares each of its exits with a
+// quarantined request that has more exits.
+func selectQuarantined(incarnations map[Fingerprint][]string) map[Fingerprint]bool {
+	suspects := slices.SortedFunc(maps.Keys(incarnations), func(a, b Fingerprint) int {
+		if more := len(incarnations[b]) - len(incarnations[a]); more != 0 {
 			return more
 		}
 		return bytes.Compare(a[:], b[:])
 	})
-	held := make(map[Fingerprint]bool)
-	// blamed holds for a life the most ends of a held request that was there.
-	blamed := make(map[string]int)
+	quarantined := make(map[Fingerprint]bool)
+	// maxExits is, by incarnation, the largest exit count of a quarantined request in flight there.
+	maxExits := make(map[string]int)
 	for _, request := range suspects {
-		ended := lives[request]
-		if explained(ended, blamed) {
+		exited := incarnations[request]
+		if attributed(exited, maxExits) {
 			continue
 		}
-		held[request] = true
-		for _, life := range ended {
-			blamed[life] = max(blamed[life], len(ended))
+		quarantined[request] = true
+		for _, incarnation := range exited {
+			maxExits[incarnation] = max(maxExits[incarnation], len(exited))
 		}
 	}
-	return held
+	return quarantined
 }
 
-// explained reports whether each life has ended under a held request with more ends than these.
-func explained(ended []string, blamed map[string]int) bool {
-	for _, life := range ended {
-		if blamed[life] <= len(ended) {
+// attributed reports whether each incarnation exited with a quarantined request that has more exits than these.
+func attributed(exited []string, maxExits map[string]int) bool {
+	for _, incarnation := range exited {
+		if maxExits[incarnation] <= len(exited) {
 			return false
 		}
 	}
