--- a/retry/budget.go
+++ b/retry/budget.go
@@ -7,116 +7,115 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// Budget bounds the second sends of one entry to its share of what all entries may make together.
+// Budget limits the retries of one entry to its share of the budget of all entries.
 type Budget struct {
 	ratio  float64
 	slack  int
 	window time.Duration
 
-	// began is when the entry started; zero for long ago.
-	began time.Time
+	// startedAt is when the entry started; zero means long ago.
+	startedAt time.Time
 
-	mu      sync.Mutex
-	entries int
-	of      map[string]*windowed
+	mu        sync.Mutex
+	entries   int
+	byService map[string]*windowCounts
 }
 
-// buckets is into how many parts a window is divided; counts are at most one part too old.
-const buckets = 10
+// bucketsPerWindow is the number of buckets of a sliding window.
+const bucketsPerWindow = 10
 
-// windowed counts the requests and second sends of one service by parts of the window.
-type windowed struct {
-	first [buckets + 1]int
-	again [buckets + 1]int
-	part  int64
+// windowCounts counts the requests and retries of one service by bucket, the current one first.
+type windowCounts struct {
+	requests [bucketsPerWindow + 1]int
+	retries  [bucketsPerWindow + 1]int
+	bucket   int64
 }
 
-// epoch is from when on parts of windows are counted: the time of day may be set, and a window that ended too soon would allow
-// second sends twice.
-var epoch = clock.Now()
+// timeOrigin is the time from which buckets are numbered. Wall-clock time would not do: setting it could end a window early
+// and allow its retries twice.
+var timeOrigin = clock.Now()
 
-// safetyShare is the part of the budget that is used: entries see their number late.
-const safetyShare = 0.7
+// usableFraction is the fraction of the budget that is used, since entries learn of changes in their number late.
+const usableFraction = 0.7
 
-// startShare is the part of the slack that is used in the first window after a start: what the entry sent in an earlier life is
-// forgotten, and still counts. With the whole of it, and each entry for itself until it knew of the others, four of five entries
-// that were killed while servers refused a third of all requests sent more than all may together.
-const startShare = 0.25
+// startupSlackFraction is the fraction of the slack that is used in the first window after a start: retries before a restart
+// still count, but are not known any more.
+const startupSlackFraction = 0.25
 
-// UnknownEntries is how many entries are taken to share a budget until their number is known.
+// UnknownEntries is the number of entries assumed to share a budget until the real number is known.
 const UnknownEntries = 20
 
-// NewBudget returns a budget of ratio times the requests and slack more in a window, over all entries.
+// NewBudget returns a budget that allows, over all entries and per window, ratio retries per request plus slack.
 func NewBudget(ratio float64, slack int, window time.Duration) *Budget {
-	return &Budget{ratio: ratio, slack: slack, window: window, entries: UnknownEntries, of: make(map[string]*windowed)}
+	return &Budget{ratio: ratio, slack: slack, window: window, entries: UnknownEntries, byService: make(map[string]*windowCounts)}
 }
 
-// StartedAt tells when the entry started, whose earlier life may have used a part of the window.
-func (b *Budget) StartedAt(at time.Time) { b.began = at }
+// StartedAt sets when the entry started; an earlier run may have used part of the first window's budget.
+func (b *Budget) StartedAt(at time.Time) { b.startedAt = at }
 
-// First counts a request of a service.
+// First counts the first attempt of a request to a service.
 func (b *Budget) First(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.at(service, now).first[0]++
+	b.counts(service, now).requests[0]++
 }
 
-// SetEntries tells how many entries share the budget.
+// SetEntries sets how many entries share the budget, at least 1.
 func (b *Budget) SetEntries(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = max(n, 1)
 }
 
-// Entries returns how many entries share the budget, as far as is known.
+// Entries returns how many entries are assumed to share the budget.
 func (b *Budget) Entries() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.entries
 }
 
-// Again takes one second send of a service from the budget; false when there is none left.
+// Again takes one retry from a service's budget and reports whether one was left.
 func (b *Budget) Again(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.at(service, now)
-	first, again := 0, 0
-	for i := range w.first {
-		first += w.first[i]
-		again += w.again[i]
+	w := b.counts(service, now)
+	requests, retries := 0, 0
+	for i := range w.requests {
+		requests += w.requests[i]
+		retries += w.retries[i]
 	}
 	slack := float64(b.slack) / float64(b.entries)
-	if now.Sub(b.began) < b.window {
-		slack *= startShare / safetyShare
+	if now.Sub(b.startedAt) < b.window {
+		slack *= startupSlackFraction / usableFraction
 	}
-	allowed := safetyShare * (b.ratio*float64(first) + slack)
-	if float64(again+1) > allowed {
-		without.Inc()
+	allowed := usableFraction * (b.ratio*float64(requests) + slack)
+	if float64(retries+1) > allowed {
+		retriesRefused.Inc()
 		return false
 	}
-	w.again[0]++
-	taken.Inc()
+	w.retries[0]++
+	retriesTaken.Inc()
 	return true
 }
 
-// at returns a service's counts moved on to now; mu is held.
-func (b *Budget) at(service string, now time.Time) *windowed {
-	w := b.of[service]
+// counts returns a service's counts, advanced to now; mu is held.
+func (b *Budget) counts(service string, now time.Time) *windowCounts {
+	w := b.byService[service]
 	if w == nil {
-		w = &windowed{}
-		b.of[service] = w
+		w = &windowCounts{}
+		b.byService[service] = w
 	}
-	part := int64(now.Sub(epoch) / (b.window / buckets))
-	if w.part == 0 {
-		w.part = part
+	bucket := int64(now.Sub(timeOrigin) / (b.window / bucketsPerWindow))
+	if w.bucket == 0 {
+		w.bucket = bucket
 	}
-	for ; w.part < part; w.part++ {
-		if part-w.part > buckets+1 {
-			w.part = part - buckets - 1
+	for ; w.bucket < bucket; w.bucket++ {
+		if bucket-w.bucket > bucketsPerWindow+1 {
+			w.bucket = bucket - bucketsPerWindow - 1
 		}
-		copy(w.first[1:], w.first[:buckets])
-		copy(w.again[1:], w.again[:buckets])
-		w.first[0], w.again[0] = 0, 0
+		copy(w.requests[1:], w.requests[:bucketsPerWindow])
+		copy(w.retries[1:], w.retries[:bucketsPerWindow])
+		w.requests[0], w.retries[0] = 0, 0
 	}
 	return w
 }
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry bounds the second sends of requests: all entries share a budget,
-// of which each uses its part.
+// Package retry limits retries by a budget that all entries share. Each entry uses
+// its part of the budget without coordination.
 package retry
--- a/retry/metrics.go
+++ b/retry/metrics.go
@@ -3,6 +3,6 @@
 import "github.com/VictoriaMetrics/metrics"
 
 var (
-	taken   = metrics.NewCounter("coralstair_repeats_total")
-	without = metrics.NewCounter("coralstair_repeats_without_budget_total")
+	retriesTaken   = metrics.NewCounter("coralstair_repeats_total")
+	retriesRefused = metrics.NewCounter("coralstair_repeats_without_budget_total")
 )
