--- a/route/budget.go
+++ b/route/budget.go
@@ -2,36 +2,35 @@
 
 import "sync"
 
-// Settings of the retry budget.
+// The retry budget is a token bucket; a retry costs one token.
 const (
-	// budgetShare is how much of a retry each request earns.
-	budgetShare = 0.1
-	// budgetStart lets a quiet entry retry at all.
-	budgetStart = 10
-	// budgetMax bounds what can be saved up.
-	budgetMax = 100
+	// tokensPerRequest is earned by each request.
+	tokensPerRequest = 0.1
+	// initialTokens lets an entry with few requests retry.
+	initialTokens = 10
+	maxTokens     = 100
 )
 
-// Budget bounds retries to a share of the requests, so that a failing service is not sent many times its load.
+// Budget limits retries to a fraction of the requests, so that a failing service does not get a multiple of its load.
 type Budget struct {
-	mu     sync.Mutex
-	opened bool
-	tokens float64
+	mu          sync.Mutex
+	initialized bool
+	tokens      float64
 }
 
-// Earn notes one request.
+// Earn adds the tokens of one request.
 func (b *Budget) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.open()
-	b.tokens = min(budgetMax, b.tokens+budgetShare)
+	b.initialize()
+	b.tokens = min(maxTokens, b.tokens+tokensPerRequest)
 }
 
 // Spend takes one retry from the budget and reports whether there was one.
 func (b *Budget) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.open()
+	b.initialize()
 	if b.tokens < 1 {
 		return false
 	}
@@ -39,9 +38,9 @@
 	return true
 }
 
-func (b *Budget) open() {
-	if !b.opened {
-		b.opened = true
-		b.tokens = budgetStart
+func (b *Budget) initialize() {
+	if !b.initialized {
+		b.initialized = true
+		b.tokens = initialTokens
 	}
 }
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,3 +1,3 @@
-// Package route chooses the box for a request: by load, with two choices, and
-// without the boxes that fail. It is pure and is told the time.
+// Package route chooses the box for a request: the less loaded of two random
+// candidates, without ejected boxes. It does no I/O and takes the time as an argument.
 package route
--- a/route/health.go
+++ b/route/health.go
@@ -5,40 +5,38 @@
 	"time"
 )
 
-// Limits of ejection.
 const (
-	// failuresBeforeEjection is the number of failures in a row after which a box is left out.
+	// failuresBeforeEjection is the number of consecutive failures after which a box is ejected.
 	failuresBeforeEjection = 3
-	// ejectionTime is how long a box is left out the first time; it doubles with each further time.
-	ejectionTime = 2 * time.Second
-	// maxEjectionTime bounds how long a box is left out.
+	// ejectionTime is the duration of the first ejection; it doubles with each further one.
+	ejectionTime    = 2 * time.Second
 	maxEjectionTime = 30 * time.Second
-	// maxEjectedShare is the part, in percent, of a service's boxes that may be left out at a time.
-	maxEjectedShare = 50
+	// maxEjectedPercent is the most boxes of a service that may be ejected at a time.
+	maxEjectedPercent = 50
 )
 
-// Health leaves out boxes that fail again and again, but never most of a service; a zero Health knows of no failure.
+// Health ejects boxes that fail repeatedly, but never most of a service. The zero value is ready to use.
 type Health struct {
 	mu    sync.Mutex
-	boxes map[string]*record
+	boxes map[string]*boxHealth
 }
 
-type record struct {
-	failures int
-	times    int
-	until    time.Time
+type boxHealth struct {
+	failures     int
+	ejections    int
+	ejectedUntil time.Time
 }
 
-// Failed notes that a box failed a request.
+// Failed records that a box failed a request.
 func (h *Health) Failed(id string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.boxes == nil {
-		h.boxes = make(map[string]*record)
+		h.boxes = make(map[string]*boxHealth)
 	}
 	r := h.boxes[id]
 	if r == nil {
-		r = &record{}
+		r = &boxHealth{}
 		h.boxes[id] = r
 	}
 	r.failures++
@@ -46,28 +44,28 @@
 		return
 	}
 	r.failures = 0
-	r.until = now.Add(min(maxEjectionTime, ejectionTime<<min(r.times, 10)))
-	r.times++
+	r.ejectedUntil = now.Add(min(maxEjectionTime, ejectionTime<<min(r.ejections, 10)))
+	r.ejections++
 }
 
-// Succeeded notes that a box answered a request.
+// Succeeded records that a box served a request, which resets its failures and ejections.
 func (h *Health) Succeeded(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.boxes, id)
 }
 
-// Filter returns the candidates that are not left out; all of them when too many would be.
+// Filter returns the candidates that are not ejected, or all of them if too many are.
 func (h *Health) Filter(candidates []Candidate, now time.Time) []Candidate {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	healthy := make([]Candidate, 0, len(candidates))
 	for _, c := range candidates {
-		if r := h.boxes[c.ID]; r == nil || !now.Before(r.until) {
+		if r := h.boxes[c.ID]; r == nil || !now.Before(r.ejectedUntil) {
 			healthy = append(healthy, c)
 		}
 	}
-	if (len(candidates)-len(healthy))*100 > len(candidates)*maxEjectedShare {
+	if (len(candidates)-len(healthy))*100 > len(candidates)*maxEjectedPercent {
 		return candidates
 	}
 	return healthy
--- a/route/picker.go
+++ b/route/picker.go
@@ -5,26 +5,26 @@
 // Candidate is a box that could take a request.
 type Candidate struct {
 	ID string
-	// InFlight is the number of requests that this entry has there.
+	// InFlight is the number of this entry's requests in flight there.
 	InFlight int
-	// Reported is the number of requests in progress that the box last reported, from all entries.
+	// Reported is the number of requests in flight that the box last reported, from all entries.
 	Reported int
 	// ReportedOwn is how many of Reported were this entry's.
 	ReportedOwn int
 }
 
-// Load estimates the requests in progress at the box: this entry's own now, the others' as last reported.
+// Load estimates the requests in flight at the box: this entry's at present, those of others as last reported.
 func (c Candidate) Load() int {
 	return c.InFlight + max(0, c.Reported-c.ReportedOwn)
 }
 
-// Picker chooses among candidates.
+// Picker chooses among candidates by the power of two random choices.
 type Picker struct {
-	// Intn returns a random number from 0 to n-1.
+	// Intn returns a random number in [0, n).
 	Intn func(n int) int
 }
 
-// Pick returns the less loaded of two candidates drawn at random; ok is false when there is none.
+// Pick returns the less loaded of two random candidates; ok is false if there is none.
 func (p *Picker) Pick(candidates []Candidate) (picked Candidate, ok bool) {
 	switch len(candidates) {
 	case 0:
@@ -43,7 +43,7 @@
 	return candidates[i], true
 }
 
-// Without returns the candidates that are not among the tried.
+// Without returns the candidates whose IDs are not in tried.
 func Without(candidates []Candidate, tried []string) []Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return slices.Contains(tried, c.ID) })
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -15,9 +15,9 @@
 		draws []int
 		want  string
 	}{
-		"own load":           {[]int{0, 0}, "idle"},
-		"load by others":     {[]int{2, 0}, "busy"},
-		"equal is the first": {[]int{1, 1}, "idle"},
+		"own load":                 {[]int{0, 0}, "idle"},
+		"load of other entries":    {[]int{2, 0}, "busy"},
+		"equal load: first choice": {[]int{1, 1}, "idle"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			draws := tc.draws
@@ -49,16 +49,16 @@
 		at      time.Time
 		want    int
 	}{
-		"none failed":            {func(*Health) {}, now, 3},
-		"too few failures":       {func(h *Health) { fail(h, "a", failuresBeforeEjection-1) }, now, 3},
-		"one left out":           {func(h *Health) { fail(h, "a", failuresBeforeEjection) }, now, 2},
-		"back after its time":    {func(h *Health) { fail(h, "a", failuresBeforeEjection) }, now.Add(ejectionTime), 3},
-		"longer the second time": {func(h *Health) { fail(h, "a", 2*failuresBeforeEjection) }, now.Add(ejectionTime), 2},
-		"success forgives": {func(h *Health) {
+		"none failed":               {func(*Health) {}, now, 3},
+		"too few failures":          {func(h *Health) { fail(h, "a", failuresBeforeEjection-1) }, now, 3},
+		"one ejected":               {func(h *Health) { fail(h, "a", failuresBeforeEjection) }, now, 2},
+		"back after the ejection":   {func(h *Health) { fail(h, "a", failuresBeforeEjection) }, now.Add(ejectionTime), 3},
+		"second ejection is longer": {func(h *Health) { fail(h, "a", 2*failuresBeforeEjection) }, now.Add(ejectionTime), 2},
+		"success resets": {func(h *Health) {
 			fail(h, "a", failuresBeforeEjection)
 			h.Succeeded("a")
 		}, now, 3},
-		"never most of a service": {func(h *Health) {
+		"not more than half of a service": {func(h *Health) {
 			fail(h, "a", failuresBeforeEjection)
 			fail(h, "b", failuresBeforeEjection)
 		}, now, 3},
@@ -79,8 +79,8 @@
 	for b.Spend() {
 		spent++
 	}
-	if spent != budgetStart {
-		t.Errorf("%d retries of a quiet entry, want %d", spent, budgetStart)
+	if spent != initialTokens {
+		t.Errorf("%d retries without requests, want %d", spent, initialTokens)
 	}
 	for range 100 {
 		b.Earn()
@@ -90,6 +90,6 @@
 		spent++
 	}
 	if spent < 9 || spent > 10 {
-		t.Errorf("%d retries for 100 requests, want a tenth", spent)
+		t.Errorf("%d retries for 100 requests, want 9 or 10", spent)
 	}
 }
