--- a/subset/doc.go
+++ b/subset/doc.go
@@ -1,3 +1,3 @@
-// Package subset chooses the boxes that an entry hears and whose servers it uses,
-// so that what entry and box cost does not grow with the fleet.
+// Package subset selects the boxes whose reports an entry receives and whose servers
+// it uses, so that the number of links does not grow with the fleet.
 package subset
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -8,56 +8,55 @@
 )
 
 const (
-	// nearLeast is how many boxes of its own site an entry keeps to at least. An entry of some 25 requests a second has 10 to 15 of
-	// them in progress, of which a server takes 8 to 16: 24 servers leave it a choice while a quarter of them load.
-	nearLeast = 24
-	// farLeast is how many of other sites, for when its own has no room; all of a fleet of 20 boxes fit in both.
-	farLeast = 16
-	// nearShares and farShares are how many times its share of all boxes an entry keeps to at least, where there are many boxes an
-	// entry: every box is then heard by several entries, also when some of them are lost.
-	nearShares = 3
-	farShares  = 1
+	// minLocalBoxes is the minimum number of boxes of the entry's own site; it leaves a choice while some servers load.
+	minLocalBoxes = 24
+	// minRemoteBoxes is the minimum number of boxes of other sites, used when the own site has no capacity.
+	minRemoteBoxes = 16
+	// localShares and remoteShares are the minimum selections as multiples of boxes per entry. In a fleet with many boxes per
+	// entry each box then stays selected by several entries, even if some entries fail.
+	localShares  = 3
+	remoteShares = 1
 )
 
-// Box is a box by the host that it is reached at, and its site.
+// Box identifies a box by its host, and its site.
 type Box struct {
 	Host string
 	Site string
 }
 
-// Chosen is a box that an entry keeps to, and for how many entries the entry stands there: as many as would have to choose among
-// the boxes of that site, or of the other sites, until one is likely to choose this one.
+// Chosen is a selected box with its weight, the inverse of the probability that an entry selects the box. Summed over the
+// entries of a box, the weights estimate the number of all entries.
 type Chosen struct {
 	Box
 	Weight float64
 }
 
-// Choose returns the boxes that an entry of a site keeps to, in no order; entries is how many entries there are, as far as it
-// knows, 0 for not at all. Entries choose by rendezvous hashing, each alone: they do not know each other, a box that comes or goes
-// changes one place, and every box is chosen by about as many entries.
+// Choose selects the boxes of an entry at a site, in no particular order; entries is the number of entries, 0 if unknown.
+// It uses rendezvous hashing, so that entries need no coordination, a box that is added or removed changes at most one
+// selected box, and each box is selected by about the same number of entries.
 func Choose(entry, site string, boxes []Box, entries int) []Chosen {
-	var near, far []Box
+	var local, remote []Box
 	for _, box := range boxes {
 		if box.Site == site {
-			near = append(near, box)
+			local = append(local, box)
 		} else {
-			far = append(far, box)
+			remote = append(remote, box)
 		}
 	}
 	share := 0
 	if entries > 0 {
 		share = (len(boxes) + entries - 1) / entries
 	}
-	return append(first(entry, near, max(nearLeast, nearShares*share)), first(entry, far, max(farLeast, farShares*share))...)
+	return append(selectTop(entry, local, max(minLocalBoxes, localShares*share)), selectTop(entry, remote, max(minRemoteBoxes, remoteShares*share))...)
 }
 
-// first returns the first boxes of an entry's own order.
-func first(entry string, boxes []Box, most int) []Chosen {
+// selectTop returns the boxes with the highest scores for an entry, at most limit.
+func selectTop(entry string, boxes []Box, limit int) []Chosen {
 	weight := 1.0
-	if len(boxes) > most {
-		weight = float64(len(boxes)) / float64(most)
+	if len(boxes) > limit {
+		weight = float64(len(boxes)) / float64(limit)
 		slices.SortFunc(boxes, func(a, b Box) int { return cmp.Compare(score(entry, b), score(entry, a)) })
-		boxes = boxes[:most]
+		boxes = boxes[:limit]
 	}
 	chosen := make([]Chosen, len(boxes))
 	for i, box := range boxes {
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// fleet returns boxes, and entries with their sites, spread over sites evenly.
+// fleet returns boxes and entries, both distributed evenly over sites; the entries are mapped to their sites.
 func fleet(boxes, entries, sites int) ([]Box, map[string]string) {
 	var all []Box
 	for i := range boxes {
@@ -19,53 +19,53 @@
 	return all, from
 }
 
-// TestChoose proves that neither an entry nor a box gets more links with the fleet, that no box is left without entries, and
-// that entries know their number by what boxes tell.
+// TestChoose checks that the links of entries and boxes are bounded, that every box is selected by some entries, and that
+// the weights add up to the number of entries.
 func TestChoose(t *testing.T) {
 	for name, test := range map[string]struct {
 		boxes, entries, sites int
-		// least and most are how many entries hear a box.
+		// least and most bound the number of entries that select a box.
 		least, most int
 		all         bool
 	}{
-		"a small fleet is heard whole": {20, 5, 3, 5, 5, true},
-		"of several regions":           {76, 16, 3, 5, 16, false},
-		"before it grows":              {120, 53, 5, 8, 30, false},
-		"hundreds":                     {204, 53, 5, 4, 20, false},
-		"a site alone":                 {40, 10, 1, 2, 10, false},
-		"as many entries as boxes":     {300, 300, 5, 20, 64, false},
-		"many boxes an entry":          {2200, 69, 23, 3, 12, false},
+		"small fleet, all boxes":   {20, 5, 3, 5, 5, true},
+		"several regions":          {76, 16, 3, 5, 16, false},
+		"medium fleet":             {120, 53, 5, 8, 30, false},
+		"large fleet":              {204, 53, 5, 4, 20, false},
+		"single site":              {40, 10, 1, 2, 10, false},
+		"as many entries as boxes": {300, 300, 5, 20, 64, false},
+		"many boxes per entry":     {2200, 69, 23, 3, 12, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			boxes, entries := fleet(test.boxes, test.entries, test.sites)
-			hears, weights := make(map[Box]int), 0.0
-			limit := max(nearLeast+farLeast, (nearShares+farShares)*(test.boxes/test.entries+1))
+			selections, weights := make(map[Box]int), 0.0
+			limit := max(minLocalBoxes+minRemoteBoxes, (localShares+remoteShares)*(test.boxes/test.entries+1))
 			for entry, site := range entries {
 				chosen := Choose(entry, site, boxes, test.entries)
 				if len(chosen) > limit || test.all != (len(chosen) == len(boxes)) {
-					t.Fatalf("%s hears %d boxes", entry, len(chosen))
+					t.Fatalf("%s selects %d boxes", entry, len(chosen))
 				}
 				for _, box := range chosen {
-					hears[box.Box]++
+					selections[box.Box]++
 					weights += box.Weight
 				}
 			}
 			least, most := len(entries), 0
 			for _, box := range boxes {
-				least, most = min(least, hears[box]), max(most, hears[box])
+				least, most = min(least, selections[box]), max(most, selections[box])
 			}
 			if least < test.least || most > test.most {
-				t.Errorf("%d to %d entries hear a box, want %d to %d", least, most, test.least, test.most)
+				t.Errorf("%d to %d entries select a box, want %d to %d", least, most, test.least, test.most)
 			}
 			if mean := weights / float64(len(boxes)); math.Abs(mean/float64(len(entries))-1) > 0.05 {
-				t.Errorf("%f entries by the boxes, want %d", mean, len(entries))
+				t.Errorf("%f entries by weight, want %d", mean, len(entries))
 			}
 		})
 	}
 }
 
-// TestChoiceIsStable proves that a box that comes or goes changes one place of an entry's choice.
-func TestChoiceIsStable(t *testing.T) {
+// TestChoiceChangesLittle checks that removing a box changes at most one selected box of an entry.
+func TestChoiceChangesLittle(t *testing.T) {
 	boxes, _ := fleet(200, 0, 5)
 	before := make(map[Box]bool)
 	for _, box := range Choose("e", "site0", boxes, 50) {
@@ -78,12 +78,12 @@
 		}
 	}
 	if changed > 1 {
-		t.Errorf("%d places change", changed)
+		t.Errorf("%d selected boxes change, want at most 1", changed)
 	}
 }
 
-// TestLossOfASite proves that entries whose site has lost its boxes spread over those of the others.
-func TestLossOfASite(t *testing.T) {
+// TestEntriesWithoutLocalBoxes checks that entries of a site that lost its boxes spread over the boxes of other sites.
+func TestEntriesWithoutLocalBoxes(t *testing.T) {
 	boxes, entries := fleet(204, 53, 5)
 	var left []Box
 	for _, box := range boxes {
@@ -91,19 +91,19 @@
 			left = append(left, box)
 		}
 	}
-	heard := make(map[Box]int)
+	selections := make(map[Box]int)
 	for entry, site := range entries {
 		if site == "site0" {
 			for _, box := range Choose(entry, site, left, 53) {
-				heard[box.Box]++
+				selections[box.Box]++
 			}
 		}
 	}
 	most := 0
-	for _, n := range heard {
+	for _, n := range selections {
 		most = max(most, n)
 	}
-	if len(heard) < len(left)/2 || most > 6 {
-		t.Errorf("%d of %d boxes are heard, one by %d entries", len(heard), len(left), most)
+	if len(selections) < len(left)/2 || most > 6 {
+		t.Errorf("%d of %d boxes are selected, one by %d entries", len(selections), len(left), most)
 	}
 }
