--- a/spread/doc.go
+++ b/spread/doc.go
@@ -1,4 +1,4 @@
-// Package spread chooses among servers of which several choosers hear late, so
-// that they do not all choose the same one. It is pure: it is told what each
-// server costs and how much is sent that nobody sees yet.
+// Package spread balances load between clients that see the same outdated load
+// reports, so that they do not all choose the same server. It does no I/O: costs
+// and the number of unreported requests are arguments.
 package spread
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -5,37 +5,36 @@
 	"time"
 )
 
-// Sent is how many requests all choosers send, the one at hand included.
+// Sent counts requests of all clients, the current one included.
 type Sent struct {
-	// Unseen is how many are on their way that the reports at hand do not show.
+	// Unseen is the number of requests in flight that the latest reports do not include.
 	Unseen float64
-	// Over is over how many the choice is spread, at least Unseen.
+	// Over is the number of requests that the choice is spread over, at least Unseen.
 	Over float64
 }
 
-// Pick returns the place of a server, and how many requests of others it is likely to get beside this one. All choosers see
-// the same server as the best one; if each took it, it would get all that is sent until the next report. So each takes a server as
-// often as it would get one of the requests spread over if these went one after the other to where they cost least, each
-// adding so much there. Turn is a random number below 1.
-func Pick(costs []time.Duration, sent Sent, adds time.Duration, turn float64) (place int, others float64) {
+// Pick returns the index of a server and the expected number of other unreported requests there. It chooses a server with
+// the probability with which it would get one of sent.Over requests assigned greedily by cost, each adding addedCost;
+// choosing the cheapest server would overload it until the next report. random is in [0, 1).
+func Pick(costs []time.Duration, sent Sent, addedCost time.Duration, random float64) (index int, others float64) {
 	chosen := Cheapest(costs)
 	if sent.Over <= 1 {
 		return chosen, 0
 	}
-	filled := level(costs, sent.Over, adds)
-	left := turn * sent.Over
+	level := fillLevel(costs, sent.Over, addedCost)
+	left := random * sent.Over
 	for i, cost := range costs {
-		if share := shareOf(cost, filled, adds); share > 0 {
+		if share := requestsToFill(cost, level, addedCost); share > 0 {
 			chosen = i
 			if left -= share; left < 0 {
 				break
 			}
 		}
 	}
-	return chosen, shareOf(costs[chosen], filled, adds) * (sent.Unseen - 1) / sent.Over
+	return chosen, requestsToFill(costs[chosen], level, addedCost) * (sent.Unseen - 1) / sent.Over
 }
 
-// Cheapest returns the place of the least cost.
+// Cheapest returns the index of the lowest cost.
 func Cheapest(costs []time.Duration) int {
 	best := 0
 	for i, cost := range costs {
@@ -46,22 +45,22 @@
 	return best
 }
 
-// shareOf returns how many requests fill a server up to a cost.
-func shareOf(cost, filled, adds time.Duration) float64 {
-	return max(0, float64(filled-cost)/float64(adds))
+// requestsToFill returns how many requests raise a server's cost to level, each adding addedCost.
+func requestsToFill(cost, level, addedCost time.Duration) float64 {
+	return max(0, float64(level-cost)/float64(addedCost))
 }
 
-// level returns the cost up to which so many requests fill the servers, each adding so much.
-func level(costs []time.Duration, requests float64, adds time.Duration) time.Duration {
+// fillLevel returns the cost that the cheapest servers reach when requests are assigned greedily (water-filling).
+func fillLevel(costs []time.Duration, requests float64, addedCost time.Duration) time.Duration {
 	costs = slices.Sorted(slices.Values(costs))
 	sum := time.Duration(0)
-	filled := time.Duration(0)
+	level := time.Duration(0)
 	for i, cost := range costs {
-		if i > 0 && filled <= cost {
+		if i > 0 && level <= cost {
 			break
 		}
 		sum += cost
-		filled = (sum + time.Duration(requests*float64(adds))) / time.Duration(i+1)
+		level = (sum + time.Duration(requests*float64(addedCost))) / time.Duration(i+1)
 	}
-	return filled
+	return level
 }
