--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,3 +1,3 @@
-// Package pace lets live requests go first on a box's link: chunks of weights
-// wait for what the link has left.
+// Package pace gives requests priority on a box's link: chunks of weights wait for
+// the remaining bandwidth.
 package pace
--- a/pace/pacer.go
+++ b/pace/pacer.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// pieceTime is how long a piece of a chunk keeps the link busy, and so a request behind it waiting.
-	pieceTime = 250 * time.Microsecond
-	minPiece  = 4 << 10
-	maxPiece  = 64 << 10
-	// bulkShare is the part of the link, in percent, that chunks and requests together may fill while there are
-	// requests: what is left keeps the queue on the link short.
-	bulkShare = 80
-	// liveWindow is how long after the last request the link counts as shared with requests.
-	liveWindow = 3 * time.Second
+	// burstTime is how long one burst of a chunk occupies the link, and so the longest delay of a request behind it.
+	burstTime = 250 * time.Microsecond
+	minBurst  = 4 << 10
+	maxBurst  = 64 << 10
+	// sharedPercent is the percentage of the link that chunks and requests together may use while there are requests; the
+	// rest keeps the link's queue short.
+	sharedPercent = 80
+	// sharedWindow is how long after the last request bytes the link counts as shared with requests.
+	sharedWindow = 3 * time.Second
 )
 
-// Pacer shares one box's link, in and out together, between live requests and chunks. A nil Pacer, and one without
-// a rate, lets everything pass.
+// Pacer shares a box's link, both directions together, between requests and chunks. A nil Pacer and one without a rate do
+// not limit.
 type Pacer struct {
-	limiter  *rate.Limiter
-	piece    int
-	rate     int64
-	lastLive atomic.Int64
-	now      func() time.Time
+	limiter     *rate.Limiter
+	burst       int
+	rate        int64
+	lastRequest atomic.Int64
+	now         func() time.Time
 }
 
-// New returns a pacer for a link of so many bytes a second; 0 means that the link's rate is not known.
+// New returns a Pacer for a link's rate in bytes per second; 0 means that the rate is unknown.
 func New(bytesPerSecond int64) *Pacer {
-	p := &Pacer{now: time.Now, piece: maxPiece}
+	p := &Pacer{now: time.Now, burst: maxBurst}
 	if bytesPerSecond > 0 {
-		p.piece = int(min(max(bytesPerSecond*int64(pieceTime)/int64(time.Second), minPiece), maxPiece))
-		p.limiter = rate.NewLimiter(share(bytesPerSecond, bulkShare), p.piece)
+		p.burst = int(min(max(bytesPerSecond*int64(burstTime)/int64(time.Second), minBurst), maxBurst))
+		p.limiter = rate.NewLimiter(share(bytesPerSecond, sharedPercent), p.burst)
 		p.rate = bytesPerSecond
 	}
 	return p
 }
 
-// WithShare returns the pacer with another part of the link, in percent, for chunks and requests together while there
-// are requests. It is called before the pacer is used.
+// WithShare sets the percentage of the link that chunks and requests together may use while there are requests, and returns
+// the Pacer. It must be called before the Pacer is used.
 func (p *Pacer) WithShare(percent int64) *Pacer {
 	if p.limiter != nil {
 		p.limiter.SetLimit(share(p.rate, percent))
@@ -51,44 +51,44 @@
 	return p
 }
 
-// share returns a part, in percent, of a link's bytes a second.
+// share returns a percentage of a link's rate in bytes per second.
 func share(bytesPerSecond, percent int64) rate.Limit {
 	return rate.Limit(bytesPerSecond * percent / 100)
 }
 
-// Live notes bytes of a request or an answer: they pass at once, and chunks wait the longer.
+// Live charges n bytes of a request or response. They are not delayed, but delay the chunks after them.
 func (p *Pacer) Live(n int) {
 	if p == nil || p.limiter == nil {
 		return
 	}
 	now := p.now()
-	p.lastLive.Store(now.UnixNano())
+	p.lastRequest.Store(now.UnixNano())
 	for n > 0 {
-		p.limiter.ReserveN(now, min(n, p.piece))
-		n -= p.piece
+		p.limiter.ReserveN(now, min(n, p.burst))
+		n -= p.burst
 	}
 }
 
-// Piece returns how many bytes of a chunk pass at a time.
+// Piece returns the maximum burst of a chunk in bytes.
 func (p *Pacer) Piece() int {
 	if p == nil {
-		return maxPiece
+		return maxBurst
 	}
-	return p.piece
+	return p.burst
 }
 
-// Wait waits until n bytes of a chunk, a piece at most, may pass. Without requests they may at once.
+// Wait blocks until n bytes of a chunk, at most one burst, may pass. It does not block without recent requests.
 func (p *Pacer) Wait(ctx context.Context, n int) error {
-	if p == nil || p.limiter == nil || p.now().Sub(time.Unix(0, p.lastLive.Load())) > liveWindow {
+	if p == nil || p.limiter == nil || p.now().Sub(time.Unix(0, p.lastRequest.Load())) > sharedWindow {
 		return ctx.Err()
 	}
 	return p.limiter.WaitN(ctx, n)
 }
 
-// DialFunc opens a connection to an address.
+// DialFunc dials an address.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer wraps a dial function, so that what the connections read is paced as chunks are.
+// Dialer wraps a dial function so that reads from its connections are paced like chunks.
 func (p *Pacer) Dialer(dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -99,13 +99,12 @@
 	}
 }
 
-// pacedConn is a connection whose reads are paced.
 type pacedConn struct {
 	net.Conn
 	pacer *Pacer
 }
 
-// Read reads a piece at most; the next waits until this one may have passed.
+// Read reads at most one burst, then blocks until the burst may pass.
 func (c *pacedConn) Read(buf []byte) (int, error) {
 	buf = buf[:min(len(buf), c.pacer.Piece())]
 	n, err := c.Conn.Read(buf)
