--- a/probe/doc.go
+++ b/probe/doc.go
@@ -1,3 +1,2 @@
-// Package probe finds out whether a process has ended, by whether anything listens
-// at its port.
+// Package probe detects that a process has exited by a refused connection to its port.
 package probe
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// limit is how long it may take to find out: a dead port refuses at once, and a machine that is gone says nothing.
-const limit = 400 * time.Millisecond
+// timeout bounds a probe of a machine that does not respond; a closed port refuses immediately.
+const timeout = 400 * time.Millisecond
 
-// Refuses reports whether nothing listens at a host and port; a host that says nothing does not refuse.
+// Refuses reports whether a connection to host:port is refused. A timeout is not a refusal.
 func Refuses(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err == nil {
--- a/probe/probe_test.go
+++ b/probe/probe_test.go
@@ -12,13 +12,13 @@
 	}
 	address := listener.Addr().String()
 	if Refuses(address) {
-		t.Error("a port at which something listens refuses")
+		t.Error("an open port refuses the connection")
 	}
 	_ = listener.Close()
 	if !Refuses(address) {
-		t.Error("a dead port does not refuse")
+		t.Error("a closed port does not refuse the connection")
 	}
 	if Refuses("no address") {
-		t.Error("what is no address refuses")
+		t.Error("an invalid address refuses the connection")
 	}
 }
