--- a/permit/doc.go
+++ b/permit/doc.go
@@ -1,4 +1,4 @@
-// Package permit keeps the permits that bound a rollout by construction, as
-// conditional writes in the platform's table: draws of a chunk group from the
-// origin, replicas that drain at a time, and the epoch of a box's daemon.
+// Package permit limits a rollout by conditional writes to the platform's table:
+// downloads of a chunk group from the origin, replicas that drain at the same time,
+// and the epoch that fences earlier daemons of a box.
 package permit
--- a/permit/drain.go
+++ b/permit/drain.go
@@ -8,28 +8,28 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// DrainWindow is how long a drain permit counts when its holder does not give it back.
-const DrainWindow = 2 * time.Minute
+// DrainLeaseTTL is how long a drain lease is valid without renewal.
+const DrainLeaseTTL = 2 * time.Minute
 
-// Drains hands out permits for replicas of a service to drain and load.
+// Drains grants leases that allow replicas of a service to drain and load.
 type Drains struct {
 	Table  Table
 	Fleet  string
 	Holder string
 }
 
-// Slot is a drain permit held; its number in the table is when it lapses, in milliseconds since 1970.
+// Slot is a drain lease; its row's number is the expiry in Unix milliseconds.
 type Slot struct {
-	key   store.Key
-	lapse int64
+	key       store.Key
+	expiresAt int64
 }
 
-// Due reports whether the slot has to be renewed soon.
+// Due reports whether the lease should be renewed.
 func (s Slot) Due(now time.Time) bool {
-	return time.UnixMilli(s.lapse).Sub(now) < DrainWindow/2
+	return time.UnixMilli(s.expiresAt).Sub(now) < DrainLeaseTTL/2
 }
 
-// Release gives a permit back; one that was not released lapses after DrainWindow.
+// Release ends a lease, if this holder still has it. A lease that is not released expires after DrainLeaseTTL.
 func (d *Drains) Release(ctx context.Context, slot Slot) error {
 	row, found, err := d.Table.Get(ctx, slot.key)
 	if err != nil || !found || string(row.Body) != d.Holder {
@@ -41,12 +41,12 @@
 	})
 }
 
-// Renew holds a permit for another DrainWindow; an error leaves it as it is.
+// Renew extends a lease to DrainLeaseTTL from now. On error it returns the lease unchanged.
 func (d *Drains) Renew(ctx context.Context, slot Slot) (Slot, error) {
-	next := Slot{key: slot.key, lapse: time.Now().Add(DrainWindow).UnixMilli()}
+	next := Slot{key: slot.key, expiresAt: time.Now().Add(DrainLeaseTTL).UnixMilli()}
 	err := d.Table.Put(ctx, store.Put{
-		Row:       store.Row{Key: slot.key, Number: next.lapse, Body: []byte(d.Holder)},
-		Condition: store.IfNumber, Number: slot.lapse,
+		Row:       store.Row{Key: slot.key, Number: next.expiresAt, Body: []byte(d.Holder)},
+		Condition: store.IfNumber, Number: slot.expiresAt,
 	})
 	if err != nil {
 		return slot, err
@@ -54,16 +54,16 @@
 	return next, nil
 }
 
-// Take takes one of limit permits of a service; ok is false while all are held.
+// Take acquires one of limit leases of a service; ok is false while all are held.
 func (d *Drains) Take(ctx context.Context, service string, limit int) (slot Slot, ok bool, err error) {
 	for number := range limit {
 		key := store.Key{
 			Partition: fmt.Sprintf("drains#%s#%s", d.Fleet, service),
 			Sort:      fmt.Sprintf("%04d", number),
 		}
-		lapse, ok, err := take(ctx, d.Table, key, d.Holder, DrainWindow)
+		expiresAt, ok, err := acquire(ctx, d.Table, key, d.Holder, DrainLeaseTTL)
 		if err != nil || ok {
-			return Slot{key: key, lapse: lapse}, ok, err
+			return Slot{key: key, expiresAt: expiresAt}, ok, err
 		}
 	}
 	return Slot{}, false, nil
--- a/permit/draw.go
+++ b/permit/draw.go
@@ -12,33 +12,33 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// DrawWindow is how long a draw permit counts; the origin's link carries its copies in such a window.
-const DrawWindow = 15 * time.Minute
+// DownloadPermitTTL is how long a download permit is valid; within it the origin's link can send swarm.MaxPermits copies.
+const DownloadPermitTTL = 15 * time.Minute
 
-// Table is the part of the platform's table service that permits use.
+// Table is the subset of the platform's table service that permits use.
 type Table interface {
 	Get(ctx context.Context, key store.Key) (row store.Row, ok bool, err error)
 	Put(ctx context.Context, put store.Put) error
 }
 
-// Draws hands out permits to draw chunk groups from the origin, at most swarm.MaxPermits a group and window.
+// Draws grants permits to download chunk groups from the origin, at most swarm.MaxPermits per group and DownloadPermitTTL.
 type Draws struct {
 	Table  Table
 	Holder string
 
-	taken atomic.Int64
+	acquired atomic.Int64
 }
 
-// Take takes a permit for a group, the one numbered first if it is free; ok is false when none is free.
+// Take acquires a permit for a group, trying number first before the others; ok is false if none is free.
 func (d *Draws) Take(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error) {
-	holder := fmt.Sprintf("%s#%d", d.Holder, d.taken.Add(1))
+	holder := fmt.Sprintf("%s#%d", d.Holder, d.acquired.Add(1))
 	for i := range swarm.MaxPermits {
 		number := (first + i) % swarm.MaxPermits
 		key := store.Key{
 			Partition: "draws#" + manifest.Hex(),
 			Sort:      fmt.Sprintf("%04d#%d", group, number),
 		}
-		_, ok, err = take(ctx, d.Table, key, holder, DrawWindow)
+		_, ok, err = acquire(ctx, d.Table, key, holder, DownloadPermitTTL)
 		if err != nil || ok {
 			return ok, err
 		}
@@ -46,17 +46,17 @@
 	return false, nil
 }
 
-// take writes a permit that is absent or has lapsed, and returns when it will lapse, in milliseconds since 1970.
-// A lost answer is resolved by reading the holder back.
-func take(ctx context.Context, table Table, key store.Key, holder string, ttl time.Duration) (lapse int64, ok bool, err error) {
+// acquire writes a permit that is absent or expired, and returns its expiry in Unix milliseconds. If the response to the
+// write is lost, it reads back the holder.
+func acquire(ctx context.Context, table Table, key store.Key, holder string, ttl time.Duration) (expiresAt int64, ok bool, err error) {
 	now := time.Now()
-	lapse = now.Add(ttl).UnixMilli()
+	expiresAt = now.Add(ttl).UnixMilli()
 	err = table.Put(ctx, store.Put{
-		Row:       store.Row{Key: key, Number: lapse, Body: []byte(holder)},
+		Row:       store.Row{Key: key, Number: expiresAt, Body: []byte(holder)},
 		Condition: store.IfLower, Number: now.UnixMilli(),
 	})
 	if err == nil {
-		return lapse, true, nil
+		return expiresAt, true, nil
 	}
 	row, found, readErr := table.Get(ctx, key)
 	if readErr != nil {
--- a/permit/epoch.go
+++ b/permit/epoch.go
@@ -7,7 +7,7 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// Epoch takes the next epoch of a box's daemon: every order of an earlier daemon of the box is older from then on.
+// Epoch acquires the next epoch for a box's daemon, which fences the orders of earlier daemons of the box.
 func Epoch(ctx context.Context, table Table, fleet, box string) (int64, error) {
 	key := epochKey(fleet, box)
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Current reports whether no later daemon of the box has taken an epoch.
+// Current reports whether epoch is still the box's latest.
 func Current(ctx context.Context, table Table, fleet, box string, epoch int64) (bool, error) {
 	row, found, err := table.Get(ctx, epochKey(fleet, box))
 	return found && row.Number == epoch, err
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -22,23 +22,23 @@
 	return local
 }
 
-// TestDrawsBounded has many boxes ask for the same group at once: no more get a permit than the origin's link carries.
+// TestDrawsBounded checks that concurrent boxes get at most swarm.MaxPermits permits for a group.
 func TestDrawsBounded(t *testing.T) {
-	for name, lost := range map[string]int{"answers come": 0, "answers lost": 3} {
+	for name, lost := range map[string]int{"responses arrive": 0, "responses lost": 3} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(t)
 			table.Service.Faults.LoseAnswers(lost)
 			var granted atomic.Int64
-			var running sync.WaitGroup
+			var wg sync.WaitGroup
 			for i := range 12 {
 				draws := &permit.Draws{Table: table, Holder: fmt.Sprint("box-", i)}
-				running.Go(func() {
+				wg.Go(func() {
 					if ok, err := draws.Take(context.Background(), weights.DigestOf(nil), 7, i%swarm.MaxPermits); err == nil && ok {
 						granted.Add(1)
 					}
 				})
 			}
-			running.Wait()
+			wg.Wait()
 			if n := granted.Load(); n != swarm.MaxPermits {
 				t.Errorf("%d permits for one group, want %d", n, swarm.MaxPermits)
 			}
@@ -59,40 +59,40 @@
 	}
 }
 
-func TestDrains(t *testing.T) {
+func TestDrainLeases(t *testing.T) {
 	ctx := context.Background()
 	table := newTable(t)
 	a := &permit.Drains{Table: table, Fleet: "f", Holder: "a"}
 	b := &permit.Drains{Table: table, Fleet: "f", Holder: "b"}
 	slot, ok, err := a.Take(ctx, "s", 1)
 	if err != nil || !ok {
-		t.Fatalf("first permit: %v, %v", ok, err)
+		t.Fatalf("first lease: %v, %v", ok, err)
 	}
 	if _, ok, _ := b.Take(ctx, "s", 1); ok {
-		t.Error("two boxes drain where one may")
+		t.Error("two boxes hold a lease, want one")
 	}
 	if slot, err = a.Renew(ctx, slot); err != nil || slot.Due(time.Now()) {
-		t.Errorf("renewed permit: %v", err)
+		t.Errorf("renewed lease is due, or error: %v", err)
 	}
 	if err := a.Release(ctx, slot); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok, err := b.Take(ctx, "s", 1); err != nil || !ok {
-		t.Errorf("a permit given back can't be had: %v, %v", ok, err)
+		t.Errorf("a released lease cannot be acquired: %v, %v", ok, err)
 	}
 }
 
-func TestDrainLapses(t *testing.T) {
+func TestDrainLeaseExpires(t *testing.T) {
 	ctx := context.Background()
 	table := newTable(t)
 	key := store.Key{Partition: "drains#f#s", Sort: "0000"}
-	dead := store.Row{Key: key, Number: time.Now().Add(-time.Second).UnixMilli(), Body: []byte("dead")}
-	if err := table.Put(ctx, store.Put{Row: dead}); err != nil {
+	expired := store.Row{Key: key, Number: time.Now().Add(-time.Second).UnixMilli(), Body: []byte("dead")}
+	if err := table.Put(ctx, store.Put{Row: expired}); err != nil {
 		t.Fatal(err)
 	}
 	drains := &permit.Drains{Table: table, Fleet: "f", Holder: "next"}
 	if _, ok, err := drains.Take(ctx, "s", 1); err != nil || !ok {
-		t.Errorf("the permit of a dead box can't be had: %v, %v", ok, err)
+		t.Errorf("an expired lease cannot be acquired: %v, %v", ok, err)
 	}
 }
 
@@ -109,6 +109,6 @@
 		t.Errorf("epoch %d after %d: %v", second, first, err)
 	}
 	if current, err := permit.Current(ctx, table, "f", "b", first); err != nil || current {
-		t.Errorf("an earlier daemon's epoch counts as current: %v", err)
+		t.Errorf("an earlier epoch counts as current: %v", err)
 	}
 }
