--- a/claim/claims.go
+++ b/claim/claims.go
@@ -11,83 +11,83 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// MaxAnswer is the longest answer that is kept for a second arrival, in bytes.
+// MaxAnswer is the longest response body, in bytes, that is stored for later requests with the same key.
 const MaxAnswer = 64 << 10
 
-// Grace is how long after its deadline a claim without an answer counts as in progress.
+// Grace is how long after its deadline a claim without a result counts as in progress.
 const Grace = 5 * time.Second
 
-// Table is the part of the platform's table service that claims use.
+// Table is the subset of the platform's table service that claims use.
 type Table interface {
 	Get(ctx context.Context, key store.Key) (row store.Row, ok bool, err error)
 	Put(ctx context.Context, put store.Put) error
 }
 
-// Status is what is known of a claimed request.
+// Status is the state of a claimed request.
 type Status int64
 
-// The statuses of a claim; their numbers are stored.
+// The numbers of the statuses are stored and must not change.
 const (
-	// StatusClaimed means that the request was, or may have been, handed on.
+	// StatusClaimed means that the request is claimed and may have been forwarded.
 	StatusClaimed Status = iota + 1
-	// StatusDone means that it ran and that its answer is kept.
+	// StatusDone means that it ran and its response is stored.
 	StatusDone
-	// StatusNotRun means that it certainly did not run and may be claimed again.
+	// StatusNotRun means that it did not run and may be claimed again.
 	StatusNotRun
-	// StatusUnknown means that it may have run.
+	// StatusUnknown means that it is not known whether it ran.
 	StatusUnknown
 )
 
-// Claim is the record of one request that must not be repeated.
+// Claim is the stored record of one non-idempotent request.
 type Claim struct {
-	// Claimant tells this attempt from any other.
+	// Claimant is the unique ID of the claiming attempt.
 	Claimant string    `cbor:"1,keyasint"`
 	BodyHash string    `cbor:"2,keyasint"`
 	Deadline time.Time `cbor:"3,keyasint"`
 	Answer   *Answer   `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer is the first answer, kept for later arrivals.
+// Answer is the stored first response, replayed to later requests with the same key.
 type Answer struct {
 	Status  int                 `cbor:"1,keyasint"`
 	Header  map[string][]string `cbor:"2,keyasint,omitempty"`
 	Body    []byte              `cbor:"3,keyasint,omitempty"`
 	Box     string              `cbor:"4,keyasint,omitempty"`
 	Version string              `cbor:"5,keyasint,omitempty"`
-	// Cut says that the body was too long to be kept.
+	// Cut says that the body was too long to be stored.
 	Cut bool `cbor:"6,keyasint,omitempty"`
 }
 
-// HeldError says that a request was claimed before.
+// HeldError says that a request is already claimed.
 type HeldError struct {
 	Status Status
 	Claim  Claim
 }
 
-// Error tells the status.
+// Error returns a message with the status.
 func (e *HeldError) Error() string { return fmt.Sprintf("claimed before, status %d", e.Status) }
 
-// MismatchError says that the same key came with another request.
+// MismatchError says that the key was used before with a different request.
 type MismatchError struct{}
 
-// Error says so.
+// Error returns a fixed message.
 func (*MismatchError) Error() string { return "the same key came before with another request" }
 
-// UnavailableError says that no claim could be made, so that nothing was run.
+// UnavailableError says that the claim could not be stored, so the request was not run.
 type UnavailableError struct{ Err error }
 
-// Error gives the cause.
+// Error returns a message with the cause.
 func (e *UnavailableError) Error() string { return fmt.Sprintf("no claim could be made: %v", e.Err) }
 
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// Claims makes and settles claims.
+// Claims stores claims and their results.
 type Claims struct {
 	Table Table
 }
 
-// Take makes a claim for a team's key. A nil error means that this attempt, and no other, may run the request.
+// Take claims a team's key. A nil error means that only this attempt may run the request.
 func (c *Claims) Take(ctx context.Context, team, key string, claim Claim) error {
 	row, err := rowOf(team, key, StatusClaimed, claim)
 	if err != nil {
@@ -106,7 +106,7 @@
 	case held.BodyHash != claim.BodyHash:
 		return &MismatchError{}
 	case status == StatusNotRun:
-		return c.retake(ctx, row, claim)
+		return c.reacquire(ctx, row, claim)
 	case status == StatusClaimed && time.Now().After(held.Deadline.Add(Grace)):
 		return &HeldError{Status: StatusUnknown, Claim: held}
 	default:
@@ -114,7 +114,7 @@
 	}
 }
 
-// Settle records what became of a claimed request.
+// Settle stores the result of a claimed request.
 func (c *Claims) Settle(ctx context.Context, team, key string, status Status, claim Claim) error {
 	row, err := rowOf(team, key, status, claim)
 	if err != nil {
@@ -134,8 +134,8 @@
 	return Status(row.Number), claim, true, nil
 }
 
-// retake claims a request again that certainly did not run; of several attempts one wins.
-func (c *Claims) retake(ctx context.Context, row store.Row, claim Claim) error {
+// reacquire claims a request that did not run before; one of several concurrent attempts succeeds.
+func (c *Claims) reacquire(ctx context.Context, row store.Row, claim Claim) error {
 	err := c.Table.Put(ctx, store.Put{Row: row, Condition: store.IfNumber, Number: int64(StatusNotRun)})
 	if err == nil {
 		return nil
--- a/claim/claims_test.go
+++ b/claim/claims_test.go
@@ -20,27 +20,27 @@
 	return &claim.Claims{Table: local}, local.Service
 }
 
-func claimOf(claimant string) claim.Claim {
+func newClaim(claimant string) claim.Claim {
 	return claim.Claim{Claimant: claimant, BodyHash: "h", Deadline: time.Now().Add(time.Minute)}
 }
 
-// TestTakeAtMostOnce has entries claim the same request at once, with answers of the table lost: one may run it.
+// TestTakeAtMostOnce checks that one of several concurrent claims succeeds, also when responses of the table are lost.
 func TestTakeAtMostOnce(t *testing.T) {
-	for name, lost := range map[string]int{"answers come": 0, "an answer lost": 1, "answers lost": 4} {
+	for name, lost := range map[string]int{"responses arrive": 0, "one response lost": 1, "responses lost": 4} {
 		t.Run(name, func(t *testing.T) {
 			claims, table := newClaims(t)
 			table.Faults.LoseAnswers(lost)
-			var won atomic.Int64
-			var running sync.WaitGroup
+			var acquired atomic.Int64
+			var wg sync.WaitGroup
 			for i := range 8 {
-				running.Go(func() {
-					if claims.Take(context.Background(), "team", "key", claimOf(fmt.Sprint(i))) == nil {
-						won.Add(1)
+				wg.Go(func() {
+					if claims.Take(context.Background(), "team", "key", newClaim(fmt.Sprint(i))) == nil {
+						acquired.Add(1)
 					}
 				})
 			}
-			running.Wait()
-			if n := won.Load(); n != 1 {
+			wg.Wait()
+			if n := acquired.Load(); n != 1 {
 				t.Errorf("%d of 8 may run the request, want 1", n)
 			}
 		})
@@ -48,7 +48,7 @@
 }
 
 func TestTakeAgain(t *testing.T) {
-	answer := &claim.Answer{Status: 200, Body: []byte("done")}
+	response := &claim.Answer{Status: 200, Body: []byte("done")}
 	for name, tc := range map[string]struct {
 		first  claim.Claim
 		settle claim.Status
@@ -57,13 +57,13 @@
 		runs   bool
 		reused bool
 	}{
-		"in progress":       {first: claimOf("a"), second: claimOf("b"), want: claim.StatusClaimed},
-		"done":              {first: claimOf("a"), settle: claim.StatusDone, second: claimOf("b"), want: claim.StatusDone},
-		"unknown":           {first: claimOf("a"), settle: claim.StatusUnknown, second: claimOf("b"), want: claim.StatusUnknown},
-		"not run":           {first: claimOf("a"), settle: claim.StatusNotRun, second: claimOf("b"), runs: true},
-		"entry died":        {first: claim.Claim{Claimant: "a", BodyHash: "h", Deadline: time.Now().Add(-time.Hour)}, second: claimOf("b"), want: claim.StatusUnknown},
-		"another request":   {first: claimOf("a"), second: claim.Claim{Claimant: "b", BodyHash: "other"}, reused: true},
-		"same attempt once": {first: claimOf("a"), second: claimOf("a"), runs: true},
+		"in progress":        {first: newClaim("a"), second: newClaim("b"), want: claim.StatusClaimed},
+		"done":               {first: newClaim("a"), settle: claim.StatusDone, second: newClaim("b"), want: claim.StatusDone},
+		"unknown":            {first: newClaim("a"), settle: claim.StatusUnknown, second: newClaim("b"), want: claim.StatusUnknown},
+		"not run":            {first: newClaim("a"), settle: claim.StatusNotRun, second: newClaim("b"), runs: true},
+		"entry exited":       {first: claim.Claim{Claimant: "a", BodyHash: "h", Deadline: time.Now().Add(-time.Hour)}, second: newClaim("b"), want: claim.StatusUnknown},
+		"different request":  {first: newClaim("a"), second: claim.Claim{Claimant: "b", BodyHash: "other"}, reused: true},
+		"same attempt again": {first: newClaim("a"), second: newClaim("a"), runs: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
@@ -73,7 +73,7 @@
 			}
 			if tc.settle != 0 {
 				settled := tc.first
-				settled.Answer = answer
+				settled.Answer = response
 				if err := claims.Settle(ctx, "team", "key", tc.settle, settled); err != nil {
 					t.Fatal(err)
 				}
@@ -83,7 +83,7 @@
 			var mismatch *claim.MismatchError
 			switch {
 			case tc.runs && err != nil:
-				t.Errorf("error %v, want that it may run", err)
+				t.Errorf("error %v, want none", err)
 			case tc.reused && !errors.As(err, &mismatch):
 				t.Errorf("error %v, want a mismatch", err)
 			case tc.want != 0 && (!errors.As(err, &held) || held.Status != tc.want):
@@ -97,7 +97,7 @@
 	claims, table := newClaims(t)
 	table.Faults.SetOut(true)
 	var unavailable *claim.UnavailableError
-	if err := claims.Take(context.Background(), "team", "key", claimOf("a")); !errors.As(err, &unavailable) {
-		t.Errorf("error %v, want unavailable: nothing may run without a claim", err)
+	if err := claims.Take(context.Background(), "team", "key", newClaim("a")); !errors.As(err, &unavailable) {
+		t.Errorf("error %v, want UnavailableError while the table is down", err)
 	}
 }
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,3 +1,3 @@
-// Package claim makes requests that must not be repeated run at most once: a
-// claim is durable in the platform's table before the request is handed on.
+// Package claim runs non-idempotent requests at most once: a claim on the caller's
+// key is stored in the platform's table before the request is forwarded.
 package claim
