--- a/dynamo/doc.go
+++ b/dynamo/doc.go
@@ -1,4 +1,4 @@
-// Package dynamo meets what the platform gives: the transactional table
-// service (DynamoDB's wire protocol), the object store and origin of weights
-// (S3's wire protocol) and the lagging list of live boxes (JSON over HTTP).
+// Package dynamo has clients for the platform's services: the transactional table
+// (DynamoDB protocol), the object store that is the origin of weights (S3 protocol)
+// and the eventually consistent list of live boxes (JSON over HTTP).
 package dynamo
--- a/dynamo/livelist.go
+++ b/dynamo/livelist.go
@@ -13,15 +13,15 @@
 
 const liveListTimeout = 2 * time.Second
 
-// LiveList reads the platform's lagging list of live and leaving boxes.
+// LiveList reads the platform's list of live and leaving boxes, which is eventually consistent.
 type LiveList struct {
 	// URL returns the list as a JSON array of members.
 	URL string
-	// Client makes the calls; nil means http.DefaultClient.
+	// Client sends the requests; nil means http.DefaultClient.
 	Client *http.Client
 }
 
-// Members returns the list as the platform has it now.
+// Members returns the current list.
 func (l *LiveList) Members(ctx context.Context) ([]membership.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, liveListTimeout)
 	defer cancel()
--- a/dynamo/objects.go
+++ b/dynamo/objects.go
@@ -17,7 +17,7 @@
 
 const objectAttempts = 2
 
-// ObjectsConfig addresses the object store.
+// ObjectsConfig configures the client of the object store.
 type ObjectsConfig struct {
 	Endpoint string
 	Bucket   string
@@ -26,13 +26,13 @@
 	Client   *http.Client
 }
 
-// Objects is the platform's object store and origin of weights.
+// Objects is a client of the platform's object store, the origin of weights.
 type Objects struct {
 	bucket string
 	client *s3.Client
 }
 
-// NewObjects returns the object store that cfg addresses; nothing is sent yet.
+// NewObjects returns a client of the object store. It sends no request.
 func NewObjects(cfg ObjectsConfig) *Objects {
 	client := s3.New(s3.Options{
 		BaseEndpoint:               aws.String(cfg.Endpoint),
@@ -47,7 +47,7 @@
 	return &Objects{bucket: cfg.Bucket, client: client}
 }
 
-// Get returns a whole object; a store.NotFoundError says that there is none.
+// Get returns an object's content, or a store.NotFoundError if it does not exist.
 func (o *Objects) Get(ctx context.Context, key string) ([]byte, error) {
 	out, err := o.client.GetObject(ctx, &s3.GetObjectInput{Bucket: &o.bucket, Key: &key})
 	if err != nil {
@@ -64,7 +64,7 @@
 	return buf.Bytes(), nil
 }
 
-// PutNew creates an object; created is false when one was there already.
+// PutNew creates an object; created is false if it exists already.
 func (o *Objects) PutNew(ctx context.Context, key string, body []byte) (created bool, err error) {
 	_, err = o.client.PutObject(ctx, &s3.PutObjectInput{
 		Bucket: &o.bucket, Key: &key, Body: bytes.NewReader(body), IfNoneMatch: aws.String("*"),
--- a/dynamo/table.go
+++ b/dynamo/table.go
@@ -14,7 +14,7 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// Names of the table's attributes and the conditions that writes use.
+// Attribute names and write conditions of the table.
 const (
 	attrPartition = "pk"
 	attrSort      = "sk"
@@ -23,7 +23,7 @@
 
 	conditionAbsent = "attribute_not_exists(pk)"
 	conditionNumber = "num = :num"
-	conditionNewer  = "attribute_not_exists(pk) OR num < :num"
+	conditionLower  = "attribute_not_exists(pk) OR num < :num"
 )
 
 const (
@@ -31,7 +31,7 @@
 	tableTimeout  = 2 * time.Second
 )
 
-// TableConfig addresses the table service.
+// TableConfig configures the client of the table service.
 type TableConfig struct {
 	Endpoint string
 	Table    string
@@ -40,21 +40,21 @@
 	Client   *http.Client
 }
 
-// Credentials are the platform's key pair.
+// Credentials are an access key for the platform's services.
 type Credentials struct{ ID, Secret string }
 
-// Retrieve returns the key pair to the SDK.
+// Retrieve implements aws.CredentialsProvider.
 func (c Credentials) Retrieve(context.Context) (aws.Credentials, error) {
 	return aws.Credentials{AccessKeyID: c.ID, SecretAccessKey: c.Secret}, nil
 }
 
-// Table is the platform's table service.
+// Table is a client of the platform's table service.
 type Table struct {
 	name   string
 	client *dynamodb.Client
 }
 
-// NewTable returns the table service that cfg addresses; nothing is sent yet.
+// NewTable returns a client of the table service. It sends no request.
 func NewTable(cfg TableConfig) *Table {
 	client := dynamodb.New(dynamodb.Options{
 		BaseEndpoint:     aws.String(cfg.Endpoint),
@@ -66,7 +66,7 @@
 	return &Table{name: cfg.Table, client: client}
 }
 
-// Delete removes a row; a row that is not there is no error.
+// Delete removes a row. It is no error if the row does not exist.
 func (t *Table) Delete(ctx context.Context, key store.Key) error {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	return wrapTable("delete", err)
 }
 
-// Get returns a row; ok is false when it is not there.
+// Get returns a row by a consistent read; ok is false if it does not exist.
 func (t *Table) Get(ctx context.Context, key store.Key) (row store.Row, ok bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	return rowOf(out.Item), true, nil
 }
 
-// Put writes one row; a store.ConditionError says that the condition did not hold.
+// Put writes one row, or returns a store.ConditionError if the condition does not hold.
 func (t *Table) Put(ctx context.Context, put store.Put) error {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -102,7 +102,7 @@
 	return wrapTable("put", err)
 }
 
-// Query returns up to limit rows of a partition whose sort key starts with prefix; last first when backward.
+// Query returns up to limit rows of a partition whose sort keys start with prefix, in descending order if backward.
 func (t *Table) Query(ctx context.Context, partition, prefix string, limit int, backward bool) ([]store.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -127,7 +127,7 @@
 	return rows, nil
 }
 
-// Transact writes all rows or none; token makes a repetition of the same call harmless.
+// Transact writes all rows or none; token makes the call idempotent.
 func (t *Table) Transact(ctx context.Context, token string, puts ...store.Put) error {
 	ctx, cancel := context.WithTimeout(ctx, tableTimeout)
 	defer cancel()
@@ -153,7 +153,7 @@
 	case store.IfNumber:
 		return aws.String(conditionNumber), number
 	case store.IfLower:
-		return aws.String(conditionNewer), number
+		return aws.String(conditionLower), number
 	default:
 		return nil, nil
 	}
@@ -206,7 +206,7 @@
 	return &store.UnavailableError{Service: "table", Call: call, Err: err}
 }
 
-// clientOrDefault keeps a nil client from being taken for one that is set.
+// clientOrDefault replaces a nil client, which the SDK's interface field would not recognise as unset.
 func clientOrDefault(client *http.Client) *http.Client {
 	if client == nil {
 		return http.DefaultClient
