--- a/invariant/doc.go
+++ b/invariant/doc.go
@@ -1,3 +1,3 @@
-// Package invariant asserts, inside the running program, what must always hold.
-// A broken invariant is counted, logged and, in tests and the lab, fatal.
+// Package invariant checks invariants of the system at run time. Violations are
+// counted and logged; in tests and the lab they are fatal.
 package invariant
--- a/invariant/recorder.go
+++ b/invariant/recorder.go
@@ -8,10 +8,10 @@
 	"github.com/apex/log"
 )
 
-// Name names one invariant.
+// Name identifies an invariant, in metrics and logs.
 type Name string
 
-// The invariants of the system.
+// Invariants of the system; the values are label values of metrics.
 const (
 	OneVersion        Name = "answer_of_one_version"
 	NotRunDidNotRun   Name = "not_run_did_not_run"
@@ -22,34 +22,34 @@
 	CursorOfItsEpoch  Name = "cursor_of_its_epoch"
 )
 
-// Broken is the fact of one broken invariant.
+// Broken is a violation of an invariant.
 type Broken struct {
 	Name Name
 	Fact string
 }
 
-// Error names the invariant and the fact.
+// Error returns a message with the invariant and the violation's details.
 func (b *Broken) Error() string {
 	return fmt.Sprintf("invariant %s broken: %s", b.Name, b.Fact)
 }
 
-// Recorder takes checks; a zero or nil Recorder counts and logs only.
+// Recorder counts, logs and collects violations. A nil Recorder only counts and logs.
 type Recorder struct {
-	// OnBroken, when set, is called for each broken invariant; tests and the lab fail in it.
+	// OnBroken, if set, is called for each violation; tests and the lab use it to fail.
 	OnBroken func(*Broken)
 
 	mu     sync.Mutex
 	broken []*Broken
 }
 
-// Broken returns the invariants broken so far.
+// Broken returns the violations so far.
 func (r *Recorder) Broken() []*Broken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]*Broken(nil), r.broken...)
 }
 
-// Check records whether an invariant holds and returns ok; format and args tell the fact.
+// Check counts a check of an invariant and returns ok; format and args describe the violation.
 func (r *Recorder) Check(ok bool, name Name, format string, args ...any) bool {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`coralstair_invariant_checks_total{name=%q}`, name)).Inc()
 	if ok {
