--- a/clock/clock.go
+++ b/clock/clock.go
@@ -8,36 +8,36 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastSuspension is what the two clocks of the system may differ by without a suspension between two looks: they are read one
-// after the other, and a process that is busy may wait in between.
-const leastSuspension = 50 * time.Millisecond
+// minSuspension is the smallest difference that counts as a suspension: the two system clocks are read in turn, and the
+// process may be descheduled in between.
+const minSuspension = 50 * time.Millisecond
 
-// suspended is for how long the machine has been suspended, as far as it has been looked for.
+// suspended is the total suspended time detected so far, in nanoseconds.
 var suspended atomic.Int64
 
-// Now returns the time, which counts suspensions of the machine; only differences to other times of this clock mean something.
+// Now returns the current time of this clock. Only differences between its times are meaningful.
 func Now() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 
-// Since returns how long ago a time of this clock was.
+// Since returns the time elapsed since a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how far away a time of this clock is.
+// Until returns the time until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Skip moves the clock on by the time for which the machine was suspended.
+// Skip advances the clock by suspended time.
 func Skip(d time.Duration) { suspended.Add(int64(d)) }
 
-// Watch finds suspensions; the zero value is ready and counts from its first look on.
+// Watch detects suspensions. The zero value is ready to use and detects those after its first Look.
 type Watch struct {
-	// read returns the system's clocks; nil for the real ones.
-	read func() (whole, steady time.Duration, err error)
+	// read returns the times with and without suspensions; nil means the system clocks.
+	read func() (boottime, monotonic time.Duration, err error)
 
-	mu     sync.Mutex
-	looked bool
-	ahead  time.Duration
+	mu          sync.Mutex
+	initialized bool
+	offset      time.Duration
 }
 
-// Look moves the clock on by the time for which the machine was suspended since the last look, and returns that.
+// Look advances the clock by the time in which the machine was suspended since the previous Look, and returns that time.
 func (w *Watch) Look() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,17 +45,17 @@
 	if read == nil {
 		read = readClocks
 	}
-	whole, steady, err := read()
+	boottime, monotonic, err := read()
 	if err != nil {
 		return 0
 	}
-	ahead := whole - steady
-	gap := ahead - w.ahead
-	if w.looked && gap < leastSuspension {
+	offset := boottime - monotonic
+	gap := offset - w.offset
+	if w.initialized && gap < minSuspension {
 		return 0
 	}
-	first := !w.looked
-	w.looked, w.ahead = true, ahead
+	first := !w.initialized
+	w.initialized, w.offset = true, offset
 	if first {
 		return 0
 	}
@@ -63,14 +63,14 @@
 	return gap
 }
 
-// readClocks returns the time since the machine was started, with and without that for which it was suspended.
-func readClocks() (whole, steady time.Duration, err error) {
-	var w, s unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &s); err != nil {
+// readClocks returns the time since boot, with and without suspensions.
+func readClocks() (boottime, monotonic time.Duration, err error) {
+	var boot, mono unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &mono); err != nil {
 		return 0, 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &w); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, 0, err
 	}
-	return time.Duration(w.Nano()), time.Duration(s.Nano()), nil
+	return time.Duration(boot.Nano()), time.Duration(mono.Nano()), nil
 }
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,5 +1,4 @@
-// Package clock tells the time by which daemons judge how old something is. The
-// system's steady clock stands still while a machine is suspended, and the time of
-// day may be set; this clock goes on through a suspension and is never set. It is
-// right again at the first look after one.
+// Package clock provides a monotonic clock that includes time in which the machine
+// is suspended, for measuring ages and timeouts. Suspended time is added by the first
+// Look after a suspension.
 package clock
