--- a/admission/returns.go
+++ b/admission/returns.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// deadlineTolerance is how far the deadlines of two tries of one request may differ by network delay and rounding.
+	// deadlineTolerance is how far the deadlines of two tries of one request may differ through network delay and rounding.
 	deadlineTolerance = 30 * time.Millisecond
 	// retryWindow is how long a refusal is kept; callers retry after the advised delay or a third of their remaining time,
 	// whichever is shorter.
@@ -23,7 +23,7 @@
 	Ends  time.Time
 }
 
-// Returns tells retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
+// Returns distinguishes retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
 // concurrent use.
 type Returns struct {
 	mu            sync.Mutex
@@ -53,7 +53,7 @@
 }
 
 // Take returns the time of a request's first try if the request retries a refused one. Each refusal matches once; equal
-// requests are told apart by their deadlines.
+// requests are distinguished by their deadlines.
 func (r *Returns) Take(fingerprint uint64, deadline, now time.Time) (first time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// refusedAt returns a refusal at start of a request first tryed before that, with left until its deadline.
+// refusedAt returns a refusal at start of a request whose first try was before that, with left until its deadline.
 func refusedAt(fingerprint uint64, before, left time.Duration) Refusal {
 	return Refusal{Print: fingerprint, First: start.Add(-before), Ends: start.Add(left)}
 }
--- a/claim/claims.go
+++ b/claim/claims.go
@@ -40,7 +40,7 @@
 
 // Claim is the stored record of one non-idempotent request.
 type Claim struct {
-	// Claimant is the unique ID of the claiming attempt.
+	// Claimant is a unique ID for each attempt to claim.
 	Claimant string    `cbor:"1,keyasint"`
 	BodyHash string    `cbor:"2,keyasint"`
 	Deadline time.Time `cbor:"3,keyasint"`
@@ -97,20 +97,20 @@
 	if err == nil {
 		return nil
 	}
-	status, held, ok, readErr := c.read(ctx, row.Key)
+	status, existing, ok, readErr := c.read(ctx, row.Key)
 	switch {
 	case readErr != nil || !ok:
 		return &UnavailableError{Err: errors.Join(err, readErr)}
-	case held.Claimant == claim.Claimant:
+	case existing.Claimant == claim.Claimant:
 		return nil
-	case held.BodyHash != claim.BodyHash:
+	case existing.BodyHash != claim.BodyHash:
 		return &MismatchError{}
 	case status == StatusNotRun:
 		return c.reacquire(ctx, row, claim)
-	case status == StatusClaimed && time.Now().After(held.Deadline.Add(Grace)):
-		return &HeldError{Status: StatusUnknown, Claim: held}
+	case status == StatusClaimed && time.Now().After(existing.Deadline.Add(Grace)):
+		return &HeldError{Status: StatusUnknown, Claim: existing}
 	default:
-		return &HeldError{Status: status, Claim: held}
+		return &HeldError{Status: status, Claim: existing}
 	}
 }
 
@@ -140,14 +140,14 @@
 	if err == nil {
 		return nil
 	}
-	status, held, ok, readErr := c.read(ctx, row.Key)
+	status, existing, ok, readErr := c.read(ctx, row.Key)
 	if readErr != nil || !ok {
 		return &UnavailableError{Err: errors.Join(err, readErr)}
 	}
-	if held.Claimant == claim.Claimant && status == StatusClaimed {
+	if existing.Claimant == claim.Claimant && status == StatusClaimed {
 		return nil
 	}
-	return &HeldError{Status: status, Claim: held}
+	return &HeldError{Status: status, Claim: existing}
 }
 
 func rowOf(team, key string, status Status, claim Claim) (store.Row, error) {
--- a/pushback/doc.go
+++ b/pushback/doc.go
@@ -1,3 +1,3 @@
-// Package pushback paces requests by the signals in a server's response headers:
-// that it is leaving, wants a pause, or limits its callers' total request rate.
+// Package pushback paces requests by the signals in a server's responses: that it
+// is leaving, wants a pause, or limits its callers' total request rate.
 package pushback
--- a/pushback/limit.go
+++ b/pushback/limit.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// usableFraction is the fraction of a limit that callers use: each learns late how many there are, and their sends may
-	// coincide.
+	// usableFraction is the fraction of a limit that callers use: they learn of changes in their number late, and their sends
+	// may coincide.
 	usableFraction = 0.75
 	// minTotalRate is the rate, in requests per second over all callers, that is sent under any limit: only a response can lift
 	// a limit.
--- a/quarantine/copy_test.go
+++ b/quarantine/copy_test.go
@@ -26,8 +26,8 @@
 	all := func(string) bool { return true }
 	tests := map[string]struct {
 		entries int
-		// gone is how many of the entries that recorded exits have stopped before the restore.
-		gone    int
+		// stopped is how many of the entries that recorded exits have stopped before the restore.
+		stopped int
 		without func(key string) bool
 		within  time.Duration
 		writes  int
@@ -52,14 +52,14 @@
 				time.Sleep(time.Second)
 				recordExits("x", qs[:3], "1", "2", "3")
 				time.Sleep(time.Second)
-				for _, stop := range stops[:test.gone] {
+				for _, stop := range stops[:test.stopped] {
 					stop()
 				}
 				store.restore(test.without)
 				for until := time.Now().Add(test.within); time.Now().Before(until); time.Sleep(50 * time.Millisecond) {
-					for i, q := range qs[test.gone:] {
+					for i, q := range qs[test.stopped:] {
 						if !q.isQuarantined("x") {
-							t.Fatalf("the request is no longer quarantined at entry %d", test.gone+i)
+							t.Fatalf("the request is no longer quarantined at entry %d", test.stopped+i)
 						}
 					}
 				}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -24,7 +24,7 @@
 	quarantined       map[Fingerprint]bool
 }
 
-// Merge merges records and drops removed ones; it reports whether another request is quarantined as a result.
+// Merge merges records and drops removed ones; it reports whether another request was quarantined.
 func (l *Ledger) Merge(records Records, now time.Time) bool {
 	if l.exits == nil {
 		l.exits, l.responses, l.learnedAt = make(map[string]End), make(map[string]Answer), make(map[string]time.Time)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -47,7 +47,7 @@
 	pending map[string]bool
 	// missing holds the keys of other entries' records that a restored store lacks and nobody has rewritten yet.
 	missing  map[string]bool
-	onChange func(held bool)
+	onChange func(added bool)
 }
 
 // New returns an empty Quarantine.
@@ -62,8 +62,8 @@
 	}
 }
 
-// OnNews sets a function that is called after each change of the records; held says that another request was quarantined.
-func (q *Quarantine) OnNews(call func(held bool)) {
+// OnNews sets a function that is called after each change of the records; added says that another request was quarantined.
+func (q *Quarantine) OnNews(call func(added bool)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.onChange = call
