--- a/admit/controller.go
+++ b/admit/controller.go
@@ -28,7 +28,7 @@
 
 // Error returns the reason and the retry delay.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("refused: %s; retry after %s", e.Reason, e.RetryAfter)
+	return fmt.Sprintf("refused: %s; come back in %s", e.Reason, e.RetryAfter)
 }
 
 // Request is a request for a place at a box.
