--- a/invariant/recorder.go
+++ b/invariant/recorder.go
@@ -38,15 +38,15 @@
 	// OnBroken, if set, is called for each violation; tests and the lab use it to fail.
 	OnBroken func(*Broken)
 
-	mu     sync.Mutex
-	broken []*Broken
+	mu         sync.Mutex
+	violations []*Broken
 }
 
 // Broken returns the violations so far.
 func (r *Recorder) Broken() []*Broken {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*Broken(nil), r.broken...)
+	return append([]*Broken(nil), r.violations...)
 }
 
 // Check counts a check of an invariant and returns ok; format and args describe the violation.
@@ -55,17 +55,17 @@
 	if ok {
 		return true
 	}
-	broken := &Broken{Name: name, Fact: fmt.Sprintf(format, args...)}
+	violation := &Broken{Name: name, Fact: fmt.Sprintf(format, args...)}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`coralstair_invariant_broken_total{name=%q}`, name)).Inc()
-	log.WithField("invariant", string(name)).Error("invariant: " + broken.Fact)
+	log.WithField("invariant", string(name)).Error("invariant: " + violation.Fact)
 	if r == nil {
 		return false
 	}
 	r.mu.Lock()
-	r.broken = append(r.broken, broken)
+	r.violations = append(r.violations, violation)
 	r.mu.Unlock()
 	if r.OnBroken != nil {
-		r.OnBroken(broken)
+		r.OnBroken(violation)
 	}
 	return false
 }
