--- a/view/apply.go
+++ b/view/apply.go
@@ -9,56 +9,56 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// setAway notes that the store does not answer; news says that it did the last time this feed asked.
-func (v *View) setAway(news bool) {
+// noteUnreachable records a failed call to the store; first marks the first failure in a row on this feed.
+func (v *View) noteUnreachable(first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.away = v.now()
-	if news {
-		v.lost++
-		v.wake()
+	v.lastFailure = v.now()
+	if first {
+		v.lostFeeds++
+		v.notify()
 	}
 }
 
-// setBack notes that the store answers on a feed again.
-func (v *View) setBack() {
+// noteReachable records that the store responds on a feed again.
+func (v *View) noteReachable() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lost--
-	v.wake()
+	v.lostFeeds--
+	v.notify()
 }
 
-// takeDeclared takes what is newer; first says that it is the first that is read.
-func (v *View) takeDeclared(declared Declared, first bool) bool {
+// applyDeclared applies what is newer and reports whether anything was; first marks the first read.
+func (v *View) applyDeclared(declared Declared, first bool) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.enterEpoch(declared.Cursor)
+	v.observeEpoch(declared.Cursor)
 	for _, fault := range declared.Faults {
 		configFaults.Inc()
 		v.opts.Log.WithField("cause", fault.Error()).Error("view: what was declared cannot be read; the last known stays")
 	}
-	changed := v.takeConfig(declared.Config)
+	changed := v.applyConfig(declared.Config)
 	for _, target := range declared.Targets {
 		at := v.now()
 		if first && v.config != nil && v.targets[target.Model] == nil {
-			// It is not known when the version was named; the middle of the bound leaves the least error.
+			// The target's age is unknown; half the bound minimizes the error.
 			at = at.Add(-v.opts.VersionBound / 2)
 		}
-		changed = v.name(target, at) || changed
+		changed = v.addTarget(target, at) || changed
 	}
 	if changed {
-		v.wake()
+		v.notify()
 	}
 	return changed
 }
 
-// takeConfig takes a configuration that is newer than the one known; mu is held.
-func (v *View) takeConfig(cfg *contract.Config) bool {
+// applyConfig applies a configuration if it is newer than the known one, and reports whether it was; mu is held.
+func (v *View) applyConfig(cfg *contract.Config) bool {
 	if cfg == nil || v.config != nil && cfg.Revision <= v.config.Revision {
 		return false
 	}
 	if v.config == nil {
-		v.configured = v.now()
+		v.configuredAt = v.now()
 	}
 	v.config = cfg
 	configRevision.Set(float64(cfg.Revision))
@@ -66,8 +66,8 @@
 	return true
 }
 
-// name notes that a version was named; mu is held.
-func (v *View) name(target contract.Target, at time.Time) bool {
+// addTarget adds a target version that was named at a time, and reports whether it is new; mu is held.
+func (v *View) addTarget(target contract.Target, at time.Time) bool {
 	h := v.targets[target.Model]
 	if h == nil {
 		h = &history{}
@@ -80,8 +80,8 @@
 	return true
 }
 
-// takeServers takes entries that changed; whole says that they are all there are. The first whole of an epoch may be a copy.
-func (v *View) takeServers(servers Servers, whole bool) {
+// applyServers applies changed entries, or all of them if full. The first full list of an epoch may be older than what is known.
+func (v *View) applyServers(servers Servers, full bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.now()
@@ -89,95 +89,93 @@
 		listFaults.Inc()
 		v.opts.Log.WithField("cause", fault.Error()).Error("view: an entry of the list names no server to use")
 	}
-	v.enterEpoch(servers.Cursor)
-	if whole {
-		servers.Present = v.ofWhole(servers.Present, servers.Cursor.Epoch > v.listEpoch && v.listed, now)
+	v.observeEpoch(servers.Cursor)
+	if full {
+		servers.Present = v.filterFullList(servers.Present, servers.Cursor.Epoch > v.listEpoch && v.listKnown, now)
 	}
 	v.listEpoch = max(v.listEpoch, servers.Cursor.Epoch)
 	present := make(map[string]bool, len(servers.Present))
-	for _, server := range append(v.settleGhosts(now), servers.Present...) {
+	for _, server := range append(v.confirmRelisted(now), servers.Present...) {
 		present[server.ID] = true
 		delete(v.missing, server.ID)
-		delete(v.ghosts, server.ID)
-		v.noteServer(server)
-		v.replace(server)
-		v.put(server)
+		delete(v.relisted, server.ID)
+		v.logServer(server)
+		v.markReplaced(server)
+		v.putServer(server)
 	}
 	for _, id := range servers.Unread {
-		v.forget(id)
+		v.removeServer(id)
 	}
 	for _, id := range servers.Gone {
-		delete(v.ghosts, id)
-		v.miss(id, now)
+		delete(v.relisted, id)
+		v.markMissing(id, now)
 	}
-	if whole {
+	if full {
 		for id := range v.servers {
 			if !present[id] {
-				v.miss(id, now)
+				v.markMissing(id, now)
 			}
 		}
 	}
-	v.dropMissing(now)
-	v.listed = true
-	v.wake()
+	v.removeExpired(now)
+	v.listKnown = true
+	v.notify()
 }
 
-// dropMissing forgets the servers that have been missing for too long; mu is held.
-func (v *View) dropMissing(now time.Time) {
+// removeExpired removes the servers that have been missing for too long; mu is held.
+func (v *View) removeExpired(now time.Time) {
 	for id, gap := range v.missing {
 		if now.After(gap.until) {
-			v.depart(id, now)
-			v.forget(id)
+			v.recordDeparture(id, now)
+			v.removeServer(id)
 		}
 	}
 }
 
-// forget drops all that is known of a server; mu is held.
-func (v *View) forget(id string) {
-	v.leaveAddress(id)
+// removeServer removes a server from all maps; mu is held.
+func (v *View) removeServer(id string) {
+	v.unindexAddress(id)
 	delete(v.missing, id)
 	delete(v.servers, id)
-	delete(v.replaced, id)
+	delete(v.replacedBy, id)
 }
 
-// put notes a server as it is listed; mu is held.
-func (v *View) put(server contract.Server) {
+// putServer stores a listed server and indexes its address; mu is held.
+func (v *View) putServer(server contract.Server) {
 	if old, known := v.servers[server.ID]; !known || old.Address != server.Address {
-		v.leaveAddress(server.ID)
-		v.at[server.Address] = append(v.at[server.Address], server.ID)
+		v.unindexAddress(server.ID)
+		v.idsByAddress[server.Address] = append(v.idsByAddress[server.Address], server.ID)
 	}
 	v.servers[server.ID] = server
 }
 
-// leaveAddress takes a server from its address; mu is held.
-func (v *View) leaveAddress(id string) {
+// unindexAddress removes a server from the index of addresses; mu is held.
+func (v *View) unindexAddress(id string) {
 	address := v.servers[id].Address
-	v.at[address] = slices.DeleteFunc(v.at[address], func(other string) bool { return other == id })
-	if len(v.at[address]) == 0 {
-		delete(v.at, address)
+	v.idsByAddress[address] = slices.DeleteFunc(v.idsByAddress[address], func(other string) bool { return other == id })
+	if len(v.idsByAddress[address]) == 0 {
+		delete(v.idsByAddress, address)
 	}
 }
 
-// replace notes that a server that is listed for the first time, in a new life or at a new address has the address of others:
-// their lives have ended, though the list tells so only after several heartbeats (2.5 s in a loss of power of all, in which
-// callers were sent to them). mu is held.
-func (v *View) replace(server contract.Server) {
+// markReplaced marks other servers at the address of a server that is new, restarted or moved as replaced: they have ended, though
+// their entries expire only after several missed heartbeats. mu is held.
+func (v *View) markReplaced(server contract.Server) {
 	old, known := v.servers[server.ID]
 	if server.Address == "" || known && old.Address == server.Address && !contract.IsAnotherLife(old.Born, server.Born) {
 		return
 	}
-	delete(v.replaced, server.ID)
-	for _, id := range v.at[server.Address] {
+	delete(v.replacedBy, server.ID)
+	for _, id := range v.idsByAddress[server.Address] {
 		if id != server.ID {
-			v.replaced[id] = server.ID
+			v.replacedBy[id] = server.ID
 		}
 	}
 }
 
-// hasSuccessor reports whether another server that is still listed, of a service that is declared, took the address of one; mu
-// is held.
-func (v *View) hasSuccessor(id string) bool {
-	successor, listed := v.servers[v.replaced[id]]
+// isReplaced reports whether another listed server, of a declared service, has taken over the server's address; mu is held.
+func (v *View) isReplaced(id string) bool {
+	successor, listed := v.servers[v.replacedBy[id]]
 	if !listed || v.config != nil && v.config.Service(successor.Service) == nil {
 		return false
 	}
@@ -185,8 +183,8 @@
 	return !missing
 }
 
-// noteServer logs a server whose entry is new or tells something new; mu is held.
-func (v *View) noteServer(server contract.Server) {
+// logServer logs a server whose entry is new or has changed; mu is held.
+func (v *View) logServer(server contract.Server) {
 	old, known := v.servers[server.ID]
 	if known && old.Leaving == server.Leaving && old.Address == server.Address && old.Born == server.Born {
 		return
@@ -196,22 +194,22 @@
 	}).Info("view: server listed")
 }
 
-// miss notes since when a server is no longer listed; mu is held.
-func (v *View) miss(id string, now time.Time) {
+// markMissing starts the grace period of a server that is no longer listed; mu is held.
+func (v *View) markMissing(id string, now time.Time) {
 	if _, known := v.servers[id]; !known {
 		return
 	}
 	if _, already := v.missing[id]; already {
 		return
 	}
-	grace := lapseGrace
+	grace := missingGrace
 	if v.opts.Drain > 0 {
 		grace = max(min(grace, v.opts.Drain-drainMargin), 0)
 	}
-	if now.Sub(v.away) < awayLately {
-		grace = awayGrace
+	if now.Sub(v.lastFailure) < outageWindow {
+		grace = outageGrace
 	}
-	v.missing[id] = lapse{since: now, until: now.Add(grace)}
-	v.opts.Log.WithFields(log.Fields{"server": id, "store_away_ms": now.Sub(v.away).Milliseconds()}).
+	v.missing[id] = absence{since: now, until: now.Add(grace)}
+	v.opts.Log.WithFields(log.Fields{"server": id, "store_away_ms": now.Sub(v.lastFailure).Milliseconds()}).
 		Info("view: server no longer listed")
 }
--- a/view/follow.go
+++ b/view/follow.go
@@ -8,13 +8,12 @@
 )
 
 const (
-	// maxRetry bounds the pause after calls that fail one after the other.
-	maxRetry = 600 * time.Millisecond
-	// settleRate is how many bytes a second of changes a daemon reads.
-	settleRate = 1 << 20
+	maxRetryDelay = 600 * time.Millisecond
+	// maxReadRate bounds the rate at which a daemon reads changes, in bytes a second.
+	maxReadRate = 1 << 20
 )
 
-// ServeDeclared follows what operators declare until ctx ends.
+// ServeDeclared follows the declared configuration and targets until ctx ends.
 func (v *View) ServeDeclared(ctx context.Context) error {
 	cursor, known, first := Cursor{}, false, true
 	return v.follow(ctx, "declared", func(ctx context.Context, wait time.Duration) (time.Duration, error) {
@@ -26,18 +25,18 @@
 			declared, err = v.source.Declared(ctx)
 		}
 		if err != nil {
-			// The whole is one configuration; the feed sends each revision since, 32 of them after a storm of changes.
+			// A full read returns one configuration, the feed each revision since.
 			known = false
 			return 0, err
 		}
 		v.checkEpoch(known, cursor, declared.Cursor)
-		changed := v.takeDeclared(declared, first)
-		v.confirm()
+		changed := v.applyDeclared(declared, first)
+		v.confirmDeclared()
 		cursor, known, first = declared.Cursor, !changed || first || !v.opts.Reread, false
 		if !changed {
 			return 0, nil
 		}
-		return settleOf(declared.Size, v.opts.Settle), nil
+		return coalesceDelay(declared.Size, v.opts.Settle), nil
 	})
 }
 
@@ -53,11 +52,11 @@
 			servers, err = v.source.Servers(ctx)
 		}
 		if err != nil {
-			known = known && !gone(err)
+			known = known && !isHistoryGone(err)
 			return 0, err
 		}
 		v.checkEpoch(known, cursor, servers.Cursor)
-		v.takeServers(servers, !known && !servers.Partial)
+		v.applyServers(servers, !known && !servers.Partial)
 		if servers.Partial {
 			return 0, nil
 		}
@@ -70,47 +69,47 @@
 	})
 }
 
-// gone reports whether the store no longer has the history, so that the whole has to be read.
-func gone(err error) bool {
+// isHistoryGone reports whether the store no longer has the history, so that a full read is needed.
+func isHistoryGone(err error) bool {
 	return errors.As(err, new(*HistoryGoneError))
 }
 
-// settleOf returns the pause after an answer that told a change: as long as its bytes take at the rate at which a daemon may
-// read, so that small changes are in force soon and large ones in quick succession do not fill the links.
-func settleOf(size int, most time.Duration) time.Duration {
+// coalesceDelay returns the delay after a response with a change: the time that its bytes take at maxReadRate, so that small changes
+// apply soon and large ones in quick succession do not saturate the links.
+func coalesceDelay(size int, limit time.Duration) time.Duration {
 	if size == 0 {
-		return most
+		return limit
 	}
-	return min(time.Duration(size)*time.Second/settleRate, most)
+	return min(time.Duration(size)*time.Second/maxReadRate, limit)
 }
 
-// follow makes one call after another; a call returns the pause after it. After a failure it pauses longer each time.
-func (v *View) follow(ctx context.Context, what string, call func(ctx context.Context, wait time.Duration) (time.Duration, error)) error {
-	pause, lost := v.opts.Retry, false
+// follow makes one call after another with the delay that each returns, and backs off exponentially after failures.
+func (v *View) follow(ctx context.Context, feed string, call func(ctx context.Context, wait time.Duration) (time.Duration, error)) error {
+	backoff, lost := v.opts.Retry, false
 	for {
-		patience := v.opts.Wait
+		timeout := v.opts.Wait
 		if lost {
-			// A call that waits at a store that is away may hang long after it is back.
-			patience = 0
+			// A long poll that is sent during an outage may hang long after the store is back.
+			timeout = 0
 		}
-		wait, err := call(ctx, patience)
+		wait, err := call(ctx, timeout)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
 			if !lost {
-				v.opts.Log.WithField("feed", what).WithField("cause", err.Error()).Warn("view: the store is lost")
+				v.opts.Log.WithField("feed", feed).WithField("cause", err.Error()).Warn("view: the store is lost")
 			}
-			v.setAway(!lost)
+			v.noteUnreachable(!lost)
 			lost = true
-			wait = pause/2 + rand.N(pause)
-			pause = min(2*pause, maxRetry)
+			wait = backoff/2 + rand.N(backoff)
+			backoff = min(2*backoff, maxRetryDelay)
 		default:
 			if lost {
-				v.opts.Log.WithField("feed", what).Info("view: the store is back")
-				v.setBack()
+				v.opts.Log.WithField("feed", feed).Info("view: the store is back")
+				v.noteReachable()
 			}
-			pause, lost = v.opts.Retry, false
+			backoff, lost = v.opts.Retry, false
 		}
 		if wait == 0 {
 			continue
--- a/view/hedge.go
+++ b/view/hedge.go
@@ -6,117 +6,114 @@
 )
 
 const (
-	// reissueAfter is how long the answer to a small call may be overdue before the call is made anew beside it, readAfter the
-	// same for a whole read, whose answer is long. A connection may fall silent for good while new ones work: without the
-	// second call an entry knew of a configuration 12 s late, with it and waits of 1.5 s 2.1 s at most (virtual time, tests here).
-	reissueAfter = 500 * time.Millisecond
-	readAfter    = 1200 * time.Millisecond
-	// mostCalls is how many calls for the same thing are made at most.
-	mostCalls = 4
+	// hedgeAfter is how long a response to a feed call may be overdue before the call is hedged, fullReadHedgeAfter the same for a full
+	// read, whose response is long. Hedging guards against a connection that stalls for good while new ones work.
+	hedgeAfter         = 500 * time.Millisecond
+	fullReadHedgeAfter = 1200 * time.Millisecond
+	// maxCalls bounds the calls for one request, the first included.
+	maxCalls = 4
 )
 
-// Reissue returns a source that makes a call anew, beside the first one, when its answer is overdue; the first answer counts.
-func Reissue(source Source) Source { return reissuing{source} }
+// Reissue returns a source that hedges calls whose response is overdue; the first response is used.
+func Reissue(source Source) Source { return hedgedSource{source} }
 
-// reissuing is a source whose calls do not hang on one connection.
-type reissuing struct{ source Source }
+type hedgedSource struct{ source Source }
 
-// Declared reads the whole of what is declared.
-func (s reissuing) Declared(ctx context.Context) (Declared, error) {
-	return reissue(ctx, 0, readAfter, func(ctx context.Context, _ time.Duration) (Declared, error) { return s.source.Declared(ctx) })
+// Declared reads all that is declared.
+func (s hedgedSource) Declared(ctx context.Context) (Declared, error) {
+	return callHedged(ctx, 0, fullReadHedgeAfter, func(ctx context.Context, _ time.Duration) (Declared, error) { return s.source.Declared(ctx) })
 }
 
-// DeclaredAfter waits for a change of what is declared.
-func (s reissuing) DeclaredAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Declared, error) {
-	return reissue(ctx, wait, reissueAfter, func(ctx context.Context, wait time.Duration) (Declared, error) {
+// DeclaredAfter waits for a change of the declared configuration or targets.
+func (s hedgedSource) DeclaredAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Declared, error) {
+	return callHedged(ctx, wait, hedgeAfter, func(ctx context.Context, wait time.Duration) (Declared, error) {
 		return s.source.DeclaredAfter(ctx, cursor, wait)
 	})
 }
 
-// SomeServers reads some of the listed servers, all of them where the source cannot.
-func (s reissuing) SomeServers(ctx context.Context, most int) (Servers, error) {
-	some, ok := s.source.(interface {
-		SomeServers(ctx context.Context, most int) (Servers, error)
+// SomeServers reads up to limit of the listed servers, or all if the source cannot read a part.
+func (s hedgedSource) SomeServers(ctx context.Context, limit int) (Servers, error) {
+	partial, ok := s.source.(interface {
+		SomeServers(ctx context.Context, limit int) (Servers, error)
 	})
 	if !ok {
 		return s.Servers(ctx)
 	}
-	return reissue(ctx, 0, readAfter, func(ctx context.Context, _ time.Duration) (Servers, error) { return some.SomeServers(ctx, most) })
+	return callHedged(ctx, 0, fullReadHedgeAfter, func(ctx context.Context, _ time.Duration) (Servers, error) { return partial.SomeServers(ctx, limit) })
 }
 
-// Servers reads the whole list of servers.
-func (s reissuing) Servers(ctx context.Context) (Servers, error) {
-	return reissue(ctx, 0, readAfter, func(ctx context.Context, _ time.Duration) (Servers, error) { return s.source.Servers(ctx) })
+// Servers reads the full list of servers.
+func (s hedgedSource) Servers(ctx context.Context) (Servers, error) {
+	return callHedged(ctx, 0, fullReadHedgeAfter, func(ctx context.Context, _ time.Duration) (Servers, error) { return s.source.Servers(ctx) })
 }
 
 // ServersAfter waits for a change of the list of servers.
-func (s reissuing) ServersAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Servers, error) {
-	return reissue(ctx, wait, reissueAfter, func(ctx context.Context, wait time.Duration) (Servers, error) {
+func (s hedgedSource) ServersAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Servers, error) {
+	return callHedged(ctx, wait, hedgeAfter, func(ctx context.Context, wait time.Duration) (Servers, error) {
 		return s.source.ServersAfter(ctx, cursor, wait)
 	})
 }
 
-// Reissued makes a call that waits for a change, and makes it anew beside the first one when its answer is overdue; the first
-// answer counts.
+// Reissued makes a call that waits for a change, and hedges it when its response is overdue; the first response is used.
 func Reissued[T any](ctx context.Context, wait time.Duration, call func(ctx context.Context, wait time.Duration) (T, error)) (T, error) {
-	return reissue(ctx, wait, reissueAfter, call)
+	return callHedged(ctx, wait, hedgeAfter, call)
 }
 
-// begunKey is the key of the context's value that Begun calls.
-type begunKey struct{}
+// responseStartedKey is the context key of the function that Begun calls.
+type responseStartedKey struct{}
 
-// Begun tells that the answer to the call of a context has begun: it is on its way, however long it takes, and asking for it
-// again would have the same bytes sent twice.
+// Begun reports that the response to the call of ctx has started to arrive, so that the call is not hedged any more: another call
+// would only transfer the same bytes twice.
 func Begun(ctx context.Context) {
-	if begun, ok := ctx.Value(begunKey{}).(func()); ok {
-		begun()
+	if started, ok := ctx.Value(responseStartedKey{}).(func()); ok {
+		started()
 	}
 }
 
-// answered is what a call came to; first says that it was the first of its kind.
-type answered[T any] struct {
+// callResult is the result of one call; first marks the original, unhedged call.
+type callResult[T any] struct {
 	value T
 	err   error
 	first bool
 }
 
-// reissue makes a call, and makes it again without waiting each time an answer is overdue, until one has begun. It fails when
-// the first call fails before another has begun to be answered, or when all have failed.
-func reissue[T any](
+// callHedged makes a call, and hedges it with a zero wait each time a response is overdue, until a response starts. It fails if the
+// first call fails before any response has started, or if all calls fail.
+func callHedged[T any](
 	ctx context.Context, wait, after time.Duration, call func(ctx context.Context, wait time.Duration) (T, error),
 ) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers, begins := make(chan answered[T], mostCalls), make(chan struct{}, 1)
-	ctx = context.WithValue(ctx, begunKey{}, func() {
+	results, starts := make(chan callResult[T], maxCalls), make(chan struct{}, 1)
+	ctx = context.WithValue(ctx, responseStartedKey{}, func() {
 		select {
-		case begins <- struct{}{}:
+		case starts <- struct{}{}:
 		default:
 		}
 	})
-	ask := func(wait time.Duration, first bool) {
+	send := func(wait time.Duration, first bool) {
 		value, err := call(ctx, wait)
-		answers <- answered[T]{value, err, first}
+		results <- callResult[T]{value, err, first}
 	}
-	go ask(wait, true)
+	go send(wait, true)
 	overdue := time.NewTimer(wait + after)
 	defer overdue.Stop()
-	begun := false
-	for made, open := 1, 1; ; {
+	started := false
+	for made, pending := 1, 1; ; {
 		select {
-		case a := <-answers:
-			open--
-			if a.err == nil || gone(a.err) || open == 0 || a.first && !begun {
-				return a.value, a.err
+		case r := <-results:
+			pending--
+			if r.err == nil || isHistoryGone(r.err) || pending == 0 || r.first && !started {
+				return r.value, r.err
 			}
-		case <-begins:
-			begun = true
+		case <-starts:
+			started = true
 			overdue.Stop()
 		case <-overdue.C:
-			if made < mostCalls {
+			if made < maxCalls {
 				made++
-				open++
-				go ask(0, false)
+				pending++
+				go send(0, false)
 				overdue.Reset(after)
 			}
 		}
--- a/view/hedge_test.go
+++ b/view/hedge_test.go
@@ -14,22 +14,22 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// callLimit is after how long beyond its wait a call of the test's store fails when nothing comes.
+// callLimit is how long after its wait a call to the fake store times out.
 const callLimit = 2 * time.Second
 
-// fakeStore is a store whose revision rises, and which leaves calls without an answer as a test says.
+// fakeStore is a store with a settable revision whose calls can be made to hang.
 type fakeStore struct {
 	mu       sync.Mutex
 	revision contract.Revision
 	changed  chan struct{}
 	calls    int
-	// hangs says whether a call is never answered, by its number and when it was made.
+	// hangs says whether a call hangs, by its number and when it was made.
 	hangs func(call int, at time.Duration) bool
 	slow  time.Duration
-	// body is how long an answer takes once it has begun.
+	// body is how long a response takes once it has started.
 	body  time.Duration
 	began time.Time
-	// whole counts the reads of the whole.
+	// whole counts the full reads.
 	whole int
 }
 
@@ -41,7 +41,7 @@
 	s.changed = make(chan struct{})
 }
 
-// call answers once the revision is beyond the cursor, or after wait.
+// call returns the revision once it is beyond the cursor, or after wait.
 func (s *fakeStore) call(ctx context.Context, cursor Cursor, wait time.Duration) (contract.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callLimit)
 	defer cancel()
@@ -102,28 +102,28 @@
 	for name, test := range map[string]struct {
 		hangs func(call int, at time.Duration) bool
 		slow  time.Duration
-		// declared is when a new revision is there, known by when it has to be known.
+		// declared is when a new revision is written, known the bound on the delay until it is applied.
 		declared time.Duration
 		known    time.Duration
 	}{
 		"undisturbed": {declared: 20 * time.Second, known: 10 * time.Millisecond},
-		"the waiting call is never answered, new ones are": {
+		"the waiting call hangs, new calls do not": {
 			hangs:    func(call int, _ time.Duration) bool { return call == 2 },
 			declared: 500 * time.Millisecond, known: 2100 * time.Millisecond,
 		},
-		"every second call is never answered": {
+		"every second call hangs": {
 			hangs:    func(call int, _ time.Duration) bool { return call%2 == 0 },
 			declared: 30 * time.Second, known: 2100 * time.Millisecond,
 		},
-		"silent for nine seconds": {
+		"no response for nine seconds": {
 			hangs:    func(_ int, at time.Duration) bool { return at > 4*time.Second && at < 13*time.Second },
 			declared: 13 * time.Second, known: 2 * time.Second,
 		},
-		"silent for a second": {
+		"no response for a second": {
 			hangs:    func(_ int, at time.Duration) bool { return at > 1900*time.Millisecond && at < 3*time.Second },
 			declared: 3100 * time.Millisecond, known: 2100 * time.Millisecond,
 		},
-		"answers take long": {slow: 900 * time.Millisecond, declared: 20 * time.Second, known: 2 * time.Second},
+		"slow responses": {slow: 900 * time.Millisecond, declared: 20 * time.Second, known: 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -135,10 +135,10 @@
 				s.set(2)
 				time.Sleep(test.known)
 				if got := v.Config(); got == nil || got.Revision != 2 {
-					t.Errorf("%s after it was declared: %+v is in force, want revision 2", test.known, got)
+					t.Errorf("%s after the change: configuration %+v, want revision 2", test.known, got)
 				}
 				if v.Doubtful() && test.slow == 0 {
-					t.Error("what is in force is in doubt")
+					t.Error("the configuration may be stale, want it confirmed")
 				}
 				cancel()
 				synctest.Wait()
@@ -157,14 +157,14 @@
 		go func() { _ = v.ServeDeclared(ctx) }()
 		time.Sleep(time.Minute)
 		if v.Doubtful() {
-			t.Error("in doubt while the store answers")
+			t.Error("the configuration may be stale while the store responds")
 		}
 		s.mu.Lock()
 		silent = true
 		s.mu.Unlock()
 		time.Sleep(6 * time.Second)
 		if !v.Doubtful() {
-			t.Error("not in doubt though nothing was heard for 6 s")
+			t.Error("the configuration is not reported as possibly stale after 6 s without a response")
 		}
 		cancel()
 		synctest.Wait()
@@ -176,18 +176,18 @@
 		"no bound":      {0, DefaultWait},
 		"three seconds": {3 * time.Second, 2 * time.Second},
 		"four seconds":  {4 * time.Second, 3 * time.Second},
-		"a tight one":   {time.Second, leastWait},
+		"tight bound":   {time.Second, minPollTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := WaitWithin(test.bound); got != test.want {
-				t.Errorf("calls wait %s, want %s", got, test.want)
+				t.Errorf("poll timeout %s, want %s", got, test.want)
 			}
 		})
 	}
 }
 
-// storeFollowed returns a store and a view that follows it.
-func storeFollowed(t *testing.T, s *fakeStore) *View {
+// followStore returns a view that follows a store.
+func followStore(t *testing.T, s *fakeStore) *View {
 	s.revision, s.changed, s.began = 1, make(chan struct{}), time.Now()
 	v := New(Reissue(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -199,40 +199,40 @@
 	return v
 }
 
-// TestAnswerThatHasBegunIsNotAskedForAgain proves that a long answer over a full link is not sent several times.
+// TestAnswerThatHasBegunIsNotAskedForAgain guards against hedging a call whose long response is arriving over a saturated link.
 func TestAnswerThatHasBegunIsNotAskedForAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{body: 5 * time.Second}
-		v := storeFollowed(t, s)
+		v := followStore(t, s)
 		time.Sleep(4900 * time.Millisecond)
 		s.mu.Lock()
 		calls := s.calls
 		s.mu.Unlock()
 		if calls != 1 {
-			t.Errorf("%d calls for one answer that is on its way, want 1", calls)
+			t.Errorf("%d calls while one response is arriving, want 1", calls)
 		}
 		time.Sleep(200 * time.Millisecond)
 		if v.Config() == nil {
-			t.Error("the answer was not taken")
+			t.Error("the response was not applied")
 		}
 	})
 }
 
-// TestWholeIsReadAfterALoss proves that an entry that lost the store does not have each revision since sent to it.
+// TestWholeIsReadAfterALoss guards against transferring every missed revision after an outage of the store.
 func TestWholeIsReadAfterALoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{hangs: func(_ int, at time.Duration) bool { return at > 4*time.Second && at < 13*time.Second }}
-		v := storeFollowed(t, s)
+		v := followStore(t, s)
 		time.Sleep(12 * time.Second)
 		s.set(40)
 		time.Sleep(3 * time.Second)
 		if got := v.Config(); got == nil || got.Revision != 40 {
-			t.Errorf("%+v is in force, want revision 40", got)
+			t.Errorf("configuration %+v, want revision 40", got)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.whole < 2 {
-			t.Errorf("the whole was read %d times, want again after the loss", s.whole)
+			t.Errorf("%d full reads, want another one after the outage", s.whole)
 		}
 	})
 }
--- a/view/history.go
+++ b/view/history.go
@@ -6,31 +6,31 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// history is when which versions of a model were named, the newest last.
+// history holds the target versions of a model and when each was first seen, the newest last.
 type history struct {
-	named []named
+	versions []namedVersion
 }
 
-type named struct {
+type namedVersion struct {
 	version contract.Version
 	at      time.Time
 }
 
-// add notes a version unless one as new is known.
+// add appends a version and reports whether it is newer than all known ones.
 func (h *history) add(version contract.Version, at time.Time) bool {
-	if n := len(h.named); n > 0 && h.named[n-1].version >= version {
+	if n := len(h.versions); n > 0 && h.versions[n-1].version >= version {
 		return false
 	}
-	h.named = append(h.named, named{version: version, at: at})
+	h.versions = append(h.versions, namedVersion{version: version, at: at})
 	return true
 }
 
-// after returns when the first version newer than one was named.
+// after returns when the first version newer than the given one was seen.
 func (h *history) after(version contract.Version) (time.Time, bool) {
 	if h == nil {
 		return time.Time{}, false
 	}
-	for _, n := range h.named {
+	for _, n := range h.versions {
 		if n.version > version {
 			return n.at, true
 		}
@@ -38,11 +38,11 @@
 	return time.Time{}, false
 }
 
-// newest returns the newest version and when it was named; 0 while none was.
+// newest returns the newest version and when it was seen; 0 if there is none.
 func (h *history) newest() (contract.Version, time.Time) {
-	n := len(h.named)
+	n := len(h.versions)
 	if n == 0 {
 		return 0, time.Time{}
 	}
-	return h.named[n-1].version, h.named[n-1].at
+	return h.versions[n-1].version, h.versions[n-1].at
 }
--- a/view/peer.go
+++ b/view/peer.go
@@ -6,48 +6,48 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// Other daemons tell which revision of the configuration they know. One that is newer than the own shows that the own feed is late
-// or that the store came back from a copy and this daemon, started since, knows only that.
+// Peers report the configuration revision that they know. A newer one than the local one means that the local feed is late, or that
+// the store was restored from a backup and this daemon has started since.
 
 const (
-	// behindFor is how long a daemon takes a newer revision that others know to be in force without reading it: operators write
-	// again what a copy lacks, within seconds.
-	behindFor = 30 * time.Second
-	// freshFor is how long after its first configuration a daemon counts as started of late, lateAfter how long its feed may be
-	// late meanwhile: changes in quick succession are read 0.5 s apart.
-	freshFor  = 10 * time.Second
-	lateAfter = 600 * time.Millisecond
+	// peerRevisionTTL is how long a newer revision known to peers counts as in force without being read: after a restore operators
+	// write the lost revisions again within seconds.
+	peerRevisionTTL = 30 * time.Second
+	// startupWindow is how long after its first configuration a daemon counts as recently started; maxFeedLag is how far its feed may
+	// lag behind its peers in that time.
+	startupWindow = 10 * time.Second
+	maxFeedLag    = 600 * time.Millisecond
 )
 
-// offer is the newest revision that others know, and since when one newer than the own is.
-type offer struct {
+// peerRevision is the newest revision known to peers; since is when peers were first ahead of this daemon.
+type peerRevision struct {
 	revision contract.Revision
 	since    time.Time
 }
 
-// OfferRevision notes a revision of the configuration that another daemon knows.
+// OfferRevision records a configuration revision that a peer knows.
 func (v *View) OfferRevision(revision contract.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if revision <= v.offered.revision {
+	if revision <= v.newestPeer.revision {
 		return
 	}
-	if !v.behind() {
-		v.offered.since = v.now()
+	if !v.behindPeers() {
+		v.newestPeer.since = v.now()
 	}
-	v.offered.revision = revision
+	v.newestPeer.revision = revision
 }
 
-// Outdated reports whether this daemon started of late and knows only an older configuration than others do: it is not to serve by
-// it, since keys may have been taken away since.
+// Outdated reports whether this daemon started recently and knows only an older configuration than its peers. It must not serve with
+// that configuration, since keys may have been revoked since.
 func (v *View) Outdated() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	now := v.now()
-	return v.behind() && now.Sub(v.configured) < freshFor && now.Sub(v.offered.since) > lateAfter
+	return v.behindPeers() && now.Sub(v.configuredAt) < startupWindow && now.Sub(v.newestPeer.since) > maxFeedLag
 }
 
-// behind reports whether others know a newer configuration; mu is held.
-func (v *View) behind() bool {
-	return v.config != nil && v.config.Revision < v.offered.revision && v.now().Sub(v.offered.since) < behindFor
+// behindPeers reports whether peers know a newer configuration; mu is held.
+func (v *View) behindPeers() bool {
+	return v.config != nil && v.config.Revision < v.newestPeer.revision && v.now().Sub(v.newestPeer.since) < peerRevisionTTL
 }
--- a/view/size_test.go
+++ b/view/size_test.go
@@ -15,7 +15,7 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// manyServers are servers of some hundred machines' fleet, each at an address of its own.
+// manyServers returns n servers with distinct addresses.
 func manyServers(n int) []contract.Server {
 	servers := make([]contract.Server, n)
 	for i := range servers {
@@ -27,48 +27,43 @@
 	return servers
 }
 
-// BenchmarkWholeList takes the whole list of servers, as a daemon does when it starts.
+// BenchmarkWholeList applies the full list of servers, as a daemon does at startup.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{301, 1002, 3002} {
 		servers := manyServers(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				v := New(nil, Options{Log: &log.Logger{Handler: discard.Default}})
-				v.takeServers(Servers{Present: servers}, true)
+				v.applyServers(Servers{Present: servers}, true)
 			}
 		})
 	}
 }
 
-// TestAListOfTenTimesAsManyServersIsTakenInTenTimesAsLong proves that what is held up while the list is taken grows with the list only:
-// what was declared waits for the same mutex, and has to be in force in seconds in fleets of any size.
-//
-// What callers saw: at an entry of a large fleet that had just started a configuration came in force after four seconds. The order of
-// events: the entry reads 3,002 servers, and the configuration changes. The cause: each server that was listed for the first time was
-// compared with all known ones, under the mutex of all beliefs. The evidence: the whole list took 57 times as long with 3,002 servers as
-// with 301.
+// TestAListOfTenTimesAsManyServersIsTakenInTenTimesAsLong guards against applying a list in more than linear time: a configuration
+// change waits for the same mutex.
 func TestAListOfTenTimesAsManyServersIsTakenInTenTimesAsLong(t *testing.T) {
-	took := func(servers []contract.Server) time.Duration {
+	cost := func(servers []contract.Server) time.Duration {
 		v := New(nil, Options{Log: &log.Logger{Handler: discard.Default}})
-		began := processorTime(t)
-		v.takeServers(Servers{Present: servers}, true)
-		return processorTime(t) - began
+		start := threadCPUTime(t)
+		v.applyServers(Servers{Present: servers}, true)
+		return threadCPUTime(t) - start
 	}
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	// Both are played in turn: the least time of each is that in which the processor was disturbed least.
+	// Both are run alternately; the minimum of each is the least disturbed by other load.
 	few, many := time.Hour, time.Hour
 	fewServers, manyServers := manyServers(301), manyServers(3010)
 	for range 20 {
-		few, many = min(few, took(fewServers)), min(many, took(manyServers))
+		few, many = min(few, cost(fewServers)), min(many, cost(manyServers))
 	}
 	if many > 20*few {
-		t.Errorf("301 servers are taken in %s, ten times as many in %s", few, many)
+		t.Errorf("301 servers take %s, ten times as many %s", few, many)
 	}
 }
 
-// processorTime returns the processor time of this thread.
-func processorTime(t *testing.T) time.Duration {
+// threadCPUTime returns the CPU time of the current thread.
+func threadCPUTime(t *testing.T) time.Duration {
 	t.Helper()
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &now); err != nil {
@@ -77,9 +72,9 @@
 	return time.Duration(now.Nano())
 }
 
-// TestSomeServersAreNotAll proves that a part of the list names servers to use and takes none away, and that the whole is asked for then.
+// TestSomeServersAreNotAll checks that a partial list adds servers, removes none and is followed by a full read.
 func TestSomeServersAreNotAll(t *testing.T) {
-	following(t, func(t *testing.T, v *View, s *fakeSource) {
+	runFollowing(t, func(t *testing.T, v *View, s *fakeSource) {
 		all := manyServers(3)
 		present := func() (ids []string) {
 			for _, server := range v.Servers() {
@@ -89,16 +84,16 @@
 			}
 			return ids
 		}
-		s.servers <- answer[Servers]{value: Servers{Present: all[:2], Partial: true}}
-		s.servers <- answer[Servers]{value: Servers{Present: all[1:]}}
+		s.servers <- response[Servers]{value: Servers{Present: all[:2], Partial: true}}
+		s.servers <- response[Servers]{value: Servers{Present: all[1:]}}
 		time.Sleep(time.Second)
 		if ids := present(); len(ids) != 2 || slices.Contains(ids, all[0].ID) {
-			t.Errorf("%v are listed, want all but %s, which only the part named", ids, all[0].ID)
+			t.Errorf("%v are listed, want all but %s, which only the partial list has", ids, all[0].ID)
 		}
-		s.servers <- answer[Servers]{value: Servers{Present: all[:1]}}
+		s.servers <- response[Servers]{value: Servers{Present: all[:1]}}
 		time.Sleep(time.Second)
 		if ids := present(); len(ids) != 3 {
-			t.Errorf("%v are listed, want all: what comes after the whole is a change", ids)
+			t.Errorf("%v are listed, want all: the list after a full read is a change", ids)
 		}
 	})
 }
--- a/view/source.go
+++ b/view/source.go
@@ -8,40 +8,40 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// Cursor is a place in the store's history in one epoch of the store.
+// Cursor is a position in the store's history, valid in one epoch of the store.
 type Cursor struct {
 	Epoch store.Epoch
 	Place int64
 }
 
-// Declared is what operators declared, whole or as far as it changed.
+// Declared is the configuration and the targets that operators declared, in full or only what changed.
 type Declared struct {
-	// Config is nil when it did not change.
+	// Config is nil if it did not change.
 	Config  *contract.Config
 	Targets []contract.Target
-	// Faults tell of rows that could not be read.
+	// Faults are the errors of rows that could not be decoded.
 	Faults []error
 	Cursor Cursor
-	// Size is the length of the store's answer, in bytes; 0 where that is not known.
+	// Size is the length of the store's response in bytes, 0 if unknown.
 	Size int
 }
 
-// Servers is the list of servers, whole or as far as it changed.
+// Servers is the list of servers, in full or only what changed.
 type Servers struct {
-	// Present are in the order in which they were written.
+	// Present holds the listed servers in the order in which their entries were written.
 	Present []contract.Server
-	// Gone holds the ids of servers that are no longer listed.
+	// Gone holds the IDs of servers that are no longer listed.
 	Gone []string
-	// Unread holds the ids of entries that another writer left or that cannot be read: they name no server to use.
+	// Unread holds the IDs of entries that are of a foreign writer or cannot be decoded; their servers are not used.
 	Unread []string
 	Faults []error
 	Cursor Cursor
-	// Partial says that these are some of the servers listed, and that the whole is still to be read.
+	// Partial marks a part of the list; the full list has yet to be read.
 	Partial bool
 }
 
-// Source is the platform's store as a view reads it. The calls with a cursor answer as soon as there is a change, at the
-// latest after wait; a HistoryGoneError says that the whole has to be read again.
+// Source is the platform's store as a view reads it. The calls with a cursor are long polls that return at the first change, or after
+// wait; a HistoryGoneError means that a full read is needed.
 type Source interface {
 	Declared(ctx context.Context) (Declared, error)
 	DeclaredAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Declared, error)
@@ -49,8 +49,8 @@
 	ServersAfter(ctx context.Context, cursor Cursor, wait time.Duration) (Servers, error)
 }
 
-// HistoryGoneError says that the store no longer has the history after a cursor, or has come back from a copy since.
+// HistoryGoneError reports that the store no longer has the history after a cursor, or was restored from a backup since.
 type HistoryGoneError struct{}
 
-// Error says so.
-func (*HistoryGoneError) Error() string { return "the store's history after this place is gone" }
+// Error returns the message.
+func (*HistoryGoneError) Error() string { return "the store's history after this cursor is gone" }
--- a/view/view.go
+++ b/view/view.go
@@ -18,21 +18,21 @@
 // Options are the settings of a view; a zero field takes its default.
 type Options struct {
 	Log log.Interface
-	// Checks takes what must always hold.
+	// Checks records violated invariants.
 	Checks *invariant.Recorder
-	// Wait is how long a call on a feed waits for a change; WaitWithin tells one that fits a bound.
+	// Wait is how long a call on a feed waits for a change; see WaitWithin.
 	Wait time.Duration
-	// Retry is the least pause after a call that failed.
+	// Retry is the initial backoff after a failed call.
 	Retry time.Duration
-	// Settle is the longest pause after a change of what is declared, shorter when the answer was small; ServersSettle is that
-	// after a change of the list of servers: changes in quick succession share a call.
+	// Settle is the longest delay after a declared change, shorter for a small response; ServersSettle is the delay after a change of
+	// the list of servers. They let changes in quick succession share a call.
 	Settle        time.Duration
 	ServersSettle time.Duration
-	// Reread has the whole of what is declared read after a change, instead of every change since.
+	// Reread makes the view read all that is declared after a change, instead of every change since.
 	Reread bool
-	// Drain is how long after it said that it leaves a server may still get requests; 0 for no bound.
+	// Drain is how long a leaving server may still get requests; 0 means no bound.
 	Drain time.Duration
-	// VersionBound is how soon after a version is named nothing begins on an older one.
+	// VersionBound is how long after a new target requests may still start on an older version.
 	VersionBound time.Duration
 }
 
@@ -43,20 +43,19 @@
 	DefaultSettle        = 500 * time.Millisecond
 	DefaultServersSettle = 400 * time.Millisecond
 
-	// lapseGrace is how long a server that is no longer listed counts as missing, not as gone; awayGrace is the same when the
-	// store was away less than awayLately before: lists lapse meanwhile, and servers that live are back within about two seconds.
-	lapseGrace = 1500 * time.Millisecond
-	awayGrace  = 2500 * time.Millisecond
-	awayLately = 3 * time.Second
-	// drainMargin is kept from the time for which a server that leaves may get requests: its entry may go without a word.
+	// missingGrace is how long a server that is no longer listed counts as missing, not as gone; outageGrace is the same within
+	// outageWindow after a failed call to the store, since entries of live servers may expire during an outage.
+	missingGrace = 1500 * time.Millisecond
+	outageGrace  = 2500 * time.Millisecond
+	outageWindow = 3 * time.Second
+	// drainMargin is subtracted from Options.Drain, since a server's entry may disappear without being marked as leaving.
 	drainMargin = 500 * time.Millisecond
-	// settleShare is the part of the drain bound, one in so many, that news of the list may be late.
-	settleShare = 5
-	// leastWait bounds the wait of a call on a feed from below.
-	leastWait = time.Second
+	// drainFraction divides Options.Drain: changes of the list may be late by this part of it.
+	drainFraction  = 5
+	minPollTimeout = time.Second
 )
 
-// View is what one daemon believes; it is safe for concurrent use.
+// View is one daemon's copy of the shared state; it is safe for concurrent use.
 type View struct {
 	source Source
 	opts   Options
@@ -64,52 +63,51 @@
 
 	mu     sync.RWMutex
 	config *contract.Config
-	// configured is when the first configuration was taken.
-	configured time.Time
-	offered    offer
-	targets    map[string]*history
-	servers    map[string]contract.Server
-	// at are the ids of the servers at each address, so that a list is taken in a time that grows with its length only.
-	at      map[string][]string
-	missing map[string]lapse
-	// replaced holds for a server the one that took its address: of the two only the newer one lives.
-	replaced map[string]string
-	// departed are servers that left of late, ghosts those of them that a copy of the store lists again.
+	// configuredAt is when the first configuration was applied.
+	configuredAt time.Time
+	newestPeer   peerRevision
+	targets      map[string]*history
+	servers      map[string]contract.Server
+	// idsByAddress keeps applying a list linear in its length.
+	idsByAddress map[string][]string
+	missing      map[string]absence
+	// replacedBy maps a server to the one that has taken over its address; only the newer one is alive.
+	replacedBy map[string]string
+	// departed holds servers that left recently, relisted those of them that a restored store lists again.
 	departed map[string]departed
-	ghosts   map[string]ghost
-	// epoch is the store's as last heard; heard says that it was.
-	epoch store.Epoch
-	heard bool
-	// listEpoch is the epoch of the last whole list.
-	listEpoch store.Epoch
-	listed    bool
-	changed   chan struct{}
-	away      time.Time
-	// confirmed is when the store last answered what is declared.
-	confirmed time.Time
-	// listConfirmed is when the store, or who tells what it holds, last answered what servers there are.
+	relisted map[string]relisted
+	// epoch is the store's newest known epoch, if epochKnown.
+	epoch      store.Epoch
+	epochKnown bool
+	// listEpoch is the epoch of the newest list.
+	listEpoch   store.Epoch
+	listKnown   bool
+	changed     chan struct{}
+	lastFailure time.Time
+	// declaredConfirmed is when the last call on the declared feed succeeded.
+	declaredConfirmed time.Time
+	// listConfirmed is when the last call on the feed of servers succeeded.
 	listConfirmed time.Time
-	// lost counts the feeds on which the store does not answer.
-	lost int
+	// lostFeeds counts the feeds on which the store does not respond.
+	lostFeeds int
 }
 
-// WaitWithin returns how long calls on a feed may wait so that one which is never answered is noticed, and the feed renewed,
-// within a bound; the default where there is no bound. Calls are priced: with 1.5 s where 3 s were allowed, 14 entries made
-// 1,708 calls in 48 s in place of 1,024 with 10 s.
+// WaitWithin returns the longest poll timeout with which a stalled call is hedged within bound, or the default if there is no bound.
+// Each call is billed, so longer waits are cheaper.
 func WaitWithin(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return DefaultWait
 	}
-	return max(bound-2*reissueAfter, leastWait)
+	return max(bound-2*hedgeAfter, minPollTimeout)
 }
 
-// SettleWithin returns how long after a change of the list of servers the next is read, by how long a server that leaves may get
-// requests: while servers start or load the list changes all the time, and each daemon that reads it makes a call a pause.
+// SettleWithin returns the delay after a change of the list of servers for a drain timeout. A longer delay saves calls while servers
+// start or load and the list changes all the time.
 func SettleWithin(drain time.Duration) time.Duration {
-	return max(drain/settleShare, DefaultServersSettle)
+	return max(drain/drainFraction, DefaultServersSettle)
 }
 
-// New returns a view that knows nothing yet.
+// New returns an empty view of a source.
 func New(source Source, opts Options) *View {
 	if opts.Log == nil {
 		opts.Log = log.Log
@@ -121,21 +119,21 @@
 	return &View{
 		source: source, opts: opts, now: clock.Now,
 		targets: make(map[string]*history),
-		servers: make(map[string]contract.Server), at: make(map[string][]string),
-		missing: make(map[string]lapse), replaced: make(map[string]string),
-		departed: make(map[string]departed), ghosts: make(map[string]ghost),
+		servers: make(map[string]contract.Server), idsByAddress: make(map[string][]string),
+		missing: make(map[string]absence), replacedBy: make(map[string]string),
+		departed: make(map[string]departed), relisted: make(map[string]relisted),
 		changed: make(chan struct{}),
 	}
 }
 
-// Changed returns a channel that is closed at the next change of any belief.
+// Changed returns a channel that is closed at the next change.
 func (v *View) Changed() <-chan struct{} {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.changed
 }
 
-// Config returns the newest configuration, nil while none is known.
+// Config returns the newest configuration, or nil if none is known.
 func (v *View) Config() *contract.Config {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -146,58 +144,58 @@
 func (v *View) Ready() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.config != nil && v.listed && len(v.servers) > 0
+	return v.config != nil && v.listKnown && len(v.servers) > 0
 }
 
-// InTouch reports whether the store answers.
+// InTouch reports whether the store responds on all feeds.
 func (v *View) InTouch() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	return v.lost == 0
+	return v.lostFeeds == 0
 }
 
-// Doubtful reports whether something newer may be in force than what is known: the store has not answered for too long, or others
-// know a newer configuration.
+// Doubtful reports whether a newer configuration may be in force: the store has not responded for too long, or peers know a newer one.
 func (v *View) Doubtful() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	// A feed that works is answered sooner.
-	return v.behind() || v.now().Sub(v.confirmed) > v.opts.Wait+2*reissueAfter
+	// A working feed responds sooner, also when one call is hedged.
+	return v.behindPeers() || v.now().Sub(v.declaredConfirmed) > v.opts.Wait+2*hedgeAfter
 }
 
-// confirm notes that the store has answered what is declared.
-func (v *View) confirm() {
+// confirmDeclared records a successful call on the declared feed.
+func (v *View) confirmDeclared() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.confirmed = v.now()
+	v.declaredConfirmed = v.now()
 }
 
-// ListAge returns how long ago the store last answered what servers there are.
+// ListAge returns how long ago the list of servers was last confirmed.
 func (v *View) ListAge() time.Duration {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.now().Sub(v.listConfirmed)
 }
 
-// confirmList notes that the store has answered what servers there are.
+// confirmList records a successful call on the feed of servers.
 func (v *View) confirmList() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.listConfirmed = v.now()
 }
 
-// lapse is since when a server is no longer listed, and until when that may be the list's fault.
-type lapse struct{ since, until time.Time }
+// absence is since when a server is no longer listed, and until when it counts as missing rather than gone.
+type absence struct{ since, until time.Time }
 
-// Listed is a server on the list; Missing says since when its entry is gone.
+// Listed is a listed or recently missing server.
 type Listed struct {
 	contract.Server
+	// Missing is since when the server is no longer listed; zero while it is.
 	Missing time.Time
-	// Until is from when on the server counts as gone; zero while it is listed.
+	// Until is when the missing server counts as gone; zero while it is listed.
 	Until time.Time
 }
 
-// Servers returns the servers that are listed, and those that went missing a short time ago.
+// Servers returns the servers that are listed or recently went missing, without those replaced at their address.
 func (v *View) Servers() []Listed {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -205,7 +203,7 @@
 	now := v.now()
 	for id, server := range v.servers {
 		gap, missing := v.missing[id]
-		if missing && now.After(gap.until) || v.hasSuccessor(id) {
+		if missing && now.After(gap.until) || v.isReplaced(id) {
 			continue
 		}
 		servers = append(servers, Listed{Server: server, Missing: gap.since, Until: gap.until})
@@ -213,23 +211,23 @@
 	return servers
 }
 
-// Target returns the version of a model that should run and since when that is known; 0 while none is.
+// Target returns the target version of a model and since when it is known; without a target, the newest version that any server runs.
 func (v *View) Target(model string) (contract.Version, time.Time) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	if h := v.targets[model]; h != nil {
 		return h.newest()
 	}
-	return v.running(model), time.Time{}
+	return v.newestLoaded(model), time.Time{}
 }
 
-// Named is a target and since when it is known.
+// Named is a target and when it was first seen.
 type Named struct {
 	contract.Target
 	At time.Time
 }
 
-// Targets returns the newest target of each model that has been named, by model.
+// Targets returns the newest target of each model, sorted by model.
 func (v *View) Targets() []Named {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -242,8 +240,8 @@
 	return targets
 }
 
-// running returns the newest version of a model that a listed server runs, which stands in while none has been named.
-func (v *View) running(model string) contract.Version {
+// newestLoaded returns the newest version of a model that a server runs; mu is held.
+func (v *View) newestLoaded(model string) contract.Version {
 	var newest contract.Version
 	for _, server := range v.servers {
 		newest = max(newest, server.Loaded[model])
@@ -251,7 +249,7 @@
 	return newest
 }
 
-// Due returns until when a server that runs a version of a model may begin requests on it; ok is false when it may go on.
+// Due returns until when requests may start on a version of a model; ok is false while no newer target is known.
 func (v *View) Due(model string, runs contract.Version) (due time.Time, ok bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -259,17 +257,17 @@
 	return at.Add(v.opts.VersionBound), ok
 }
 
-// OfferTarget takes a target that another daemon told, named so long ago.
+// OfferTarget applies a target that a peer reports, with the time since it was named.
 func (v *View) OfferTarget(target contract.Target, ago time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.name(target, v.now().Add(-ago)) {
-		v.wake()
+	if v.addTarget(target, v.now().Add(-ago)) {
+		v.notify()
 	}
 }
 
-// wake tells of a change; mu is held.
-func (v *View) wake() {
+// notify wakes the waiters on Changed; mu is held.
+func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
