--- a/told/doc.go
+++ b/told/doc.go
@@ -1,3 +1,3 @@
-// Package told holds what entries tell other daemons of what the platform's store
-// holds, so that not every daemon has to read it.
+// Package told provides a view source that is fed by an entry and falls back to
+// the platform's store, so that not every daemon has to read the store.
 package told
--- a/told/source.go
+++ b/told/source.go
@@ -16,123 +16,119 @@
 )
 
 const (
-	// patience is how long a box waits for an entry to tell it what the store holds before it reads that itself, and
-	// spread how much longer at most: many boxes that start together would fill the links to the store.
-	patience = 1200 * time.Millisecond
-	spread   = 800 * time.Millisecond
-	// listPause and declaredPause are how long after it read the store itself a box does so again: the list grows old sooner.
-	listPause     = 1500 * time.Millisecond
-	declaredPause = 5 * time.Second
-	// someServers is how many servers a daemon that starts reads first. Where more are listed the whole list is left to one entry of each
-	// site, which tells the others: read by all daemons of a region at once, it would take its link for longer than a configuration may.
-	someServers = 200
-	// entryWholePause and boxWholePause are how long an entry or a box that has read some servers waits to be told the whole list, up to
-	// as long again for each. An entry has to know of servers that leave as soon as it counts as in touch; a box only needs its own.
-	entryWholePause = 1200 * time.Millisecond
-	boxWholePause   = 4 * time.Second
+	// entryTimeout is how long a box waits for an entry's feed before it reads the store itself. The jitter keeps boxes that start
+	// together from saturating the links to the store.
+	entryTimeout       = 1200 * time.Millisecond
+	entryTimeoutJitter = 800 * time.Millisecond
+	// listReadInterval and declaredReadInterval are how often a box without a feed reads the store.
+	listReadInterval     = 1500 * time.Millisecond
+	declaredReadInterval = 5 * time.Second
+	// firstReadLimit is how many servers a daemon reads at startup. A longer list is read in full by one entry of each site and relayed
+	// to the others, since reads by all daemons at once would delay configuration changes on the region's link.
+	firstReadLimit = 200
+	// entryFullReadDelay and boxFullReadDelay are how long an entry or a box with a partial list waits for a peer to send the full list,
+	// before a jitter of up to as long again. An entry needs the full list sooner, to know which servers leave.
+	entryFullReadDelay = 1200 * time.Millisecond
+	boxFullReadDelay   = 4 * time.Second
 )
 
-// someReader is a store of which a part of the list can be read.
-type someReader interface {
-	// SomeServers reads so many servers at most; they are partial where more are listed.
-	SomeServers(ctx context.Context, most int) (view.Servers, error)
+// partialReader is a store that can read a part of the list.
+type partialReader interface {
+	// SomeServers reads up to limit servers; the result is partial if more are listed.
+	SomeServers(ctx context.Context, limit int) (view.Servers, error)
 }
 
-// noCursor is the place in the store's history of what entries told: none.
+// noCursor marks data from an entry's feed, which has no position in the store's history.
 var noCursor = view.Cursor{Place: -1}
 
-// Source is the source of a view: what an entry tells, and the store while none does.
+// Source is a view source that uses an entry's feed, or the store while there is no feed.
 type Source struct {
 	store view.Source
-	// patience is how long after the last entry fell silent the store is read, listPause and declaredPause are how long after that
-	// it is read again.
-	patience      time.Duration
-	listPause     time.Duration
-	declaredPause time.Duration
-	// wholePause is how long after it read some servers the whole list is read, if no entry has told it by then.
-	wholePause time.Duration
+	// entryTimeout is how long after the loss of the feed the store is first read.
+	entryTimeout         time.Duration
+	listReadInterval     time.Duration
+	declaredReadInterval time.Duration
+	// fullReadDelay is how long after a partial read the full list is read.
+	fullReadDelay time.Duration
 
 	mu      sync.Mutex
 	changed chan struct{}
-	// silentSince is when the last entry that told fell silent; zero while one tells.
-	silentSince time.Time
-	declared    *contract.Config
-	servers     map[string]contract.Server
-	// listRead and declaredRead are when the store was read last.
-	listRead     time.Time
-	declaredRead time.Time
-	// begun says that servers were read or told, partial that they are some of those listed.
-	begun   bool
-	partial bool
-	// wholeNow says that nobody else will tell the whole list.
-	wholeNow bool
-	// passedDeclared and passed are what the view was given last.
-	passedDeclared *contract.Config
-	passed         map[string]contract.Server
+	// inactiveSince is when the feed was lost; zero while an entry feeds this source.
+	inactiveSince  time.Time
+	declared       *contract.Config
+	servers        map[string]contract.Server
+	listReadAt     time.Time
+	declaredReadAt time.Time
+	// serversKnown says that a list was read or received, partial that it is not the full list.
+	serversKnown bool
+	partial      bool
+	// fullReadRequested says that no peer will send the full list.
+	fullReadRequested bool
+	// deliveredDeclared and delivered are the state that the view has.
+	deliveredDeclared *contract.Config
+	delivered         map[string]contract.Server
 }
 
-// New returns a box's source, which reads the store itself, now and then, as long as no entry tells for some time.
+// New returns a box's source, which reads the store at intervals when there has been no feed for a time.
 func New(store view.Source) *Source {
 	return &Source{
-		store: store, patience: patience + rand.N(spread), listPause: listPause, declaredPause: declaredPause,
-		changed: make(chan struct{}), silentSince: clock.Now(), wholePause: boxWholePause + rand.N(boxWholePause),
+		store: store, entryTimeout: entryTimeout + rand.N(entryTimeoutJitter), listReadInterval: listReadInterval, declaredReadInterval: declaredReadInterval,
+		changed: make(chan struct{}), inactiveSince: clock.Now(), fullReadDelay: boxFullReadDelay + rand.N(boxFullReadDelay),
 	}
 }
 
-// NewForEntry returns an entry's source, which reads the store itself, at once and all the time, as long as no other entry tells.
-// Only the list of servers is told to entries; while it is shared its calls wait for a time at most, so that a channel that has
-// fallen silent is noticed sooner than by the others, who hear of no change meanwhile.
-func NewForEntry(store view.Source, mostWait time.Duration) *EntrySource {
+// NewForEntry returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only the list
+// of servers is relayed between entries; while it is shared, calls wait for maxWait at most, so that a stalled connection is noticed.
+func NewForEntry(store view.Source, maxWait time.Duration) *EntrySource {
 	return &EntrySource{
 		Source: &Source{
-			store: store, changed: make(chan struct{}), silentSince: clock.Now(), wholePause: entryWholePause + rand.N(entryWholePause),
+			store: store, changed: make(chan struct{}), inactiveSince: clock.Now(), fullReadDelay: entryFullReadDelay + rand.N(entryFullReadDelay),
 		},
-		mostWait: mostWait,
+		maxWait: maxWait,
 	}
 }
 
 // EntrySource is the source of an entry's view.
 type EntrySource struct {
 	*Source
-	mostWait time.Duration
-	shared   atomic.Bool
+	maxWait time.Duration
+	shared  atomic.Bool
 }
 
-// Share says whether other entries may hear the list of servers from this one. Where each reads for itself a call may wait as long
-// as those for what is declared: with 13 entries some 600 calls less in 48 s of 1,590, each of which is priced.
+// Share sets whether other entries depend on this one for the list of servers. If not, calls may wait longer, which saves billed calls.
 func (s *EntrySource) Share(shared bool) { s.shared.Store(shared) }
 
-// Starting reports whether the whole list has not been read or told yet.
+// Starting reports whether the full list has not been read or received yet.
 func (s *EntrySource) Starting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.begun || s.partial
+	return !s.serversKnown || s.partial
 }
 
-// ReadWhole has the whole list read now, where only some servers are known: no other entry will tell it.
+// ReadWhole makes the source read the full list now instead of waiting for a peer to send it.
 func (s *EntrySource) ReadWhole() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.wholeNow {
-		s.wholeNow = true
-		s.wake()
+	if !s.fullReadRequested {
+		s.fullReadRequested = true
+		s.notify()
 	}
 }
 
-// Declared reads what is declared from the store.
+// Declared reads all that is declared from the store.
 func (s *EntrySource) Declared(ctx context.Context) (view.Declared, error) {
 	return s.store.Declared(ctx)
 }
 
-// DeclaredAfter waits for a change of what is declared at the store.
+// DeclaredAfter waits for a change of the declared configuration or targets at the store.
 func (s *EntrySource) DeclaredAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Declared, error) {
 	return s.store.DeclaredAfter(ctx, cursor, wait)
 }
 
-// ServersAfter returns what is new of the list of servers.
+// ServersAfter waits for a change of the list of servers.
 func (s *EntrySource) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
 	if s.shared.Load() {
-		wait = min(wait, s.mostWait)
+		wait = min(wait, s.maxWait)
 	}
 	return s.Source.ServersAfter(ctx, cursor, wait)
 }
@@ -142,25 +138,25 @@
 	_ view.Source = (*EntrySource)(nil)
 )
 
-// Declared returns what an entry told, or what the store holds when none tells in time.
-func (t *Source) Declared(ctx context.Context) (view.Declared, error) {
-	return t.DeclaredAfter(ctx, noCursor, view.DefaultWait)
+// Declared returns the declared state from the feed, or from the store if there is no feed in time.
+func (s *Source) Declared(ctx context.Context) (view.Declared, error) {
+	return s.DeclaredAfter(ctx, noCursor, view.DefaultWait)
 }
 
-// DeclaredAfter returns what is new of what is declared.
-func (t *Source) DeclaredAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Declared, error) {
+// DeclaredAfter waits for a change of the declared state.
+func (s *Source) DeclaredAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Declared, error) {
 	declared := view.Declared{Cursor: noCursor}
-	err := t.await(ctx, wait, &t.declaredRead, func() time.Duration { return t.declaredPause }, func() bool {
-		if t.declared == nil || t.declared == t.passedDeclared {
+	err := s.awaitChange(ctx, wait, &s.declaredReadAt, func() time.Duration { return s.declaredReadInterval }, func() bool {
+		if s.declared == nil || s.declared == s.deliveredDeclared {
 			return false
 		}
-		declared.Config, t.passedDeclared = t.declared, t.declared
+		declared.Config, s.deliveredDeclared = s.declared, s.declared
 		return true
 	}, func(ctx context.Context) (err error) {
 		if cursor == noCursor {
-			declared, err = t.store.Declared(ctx)
+			declared, err = s.store.Declared(ctx)
 		} else {
-			declared, err = t.store.DeclaredAfter(ctx, cursor, wait)
+			declared, err = s.store.DeclaredAfter(ctx, cursor, wait)
 		}
 		return err
 	})
@@ -168,130 +164,129 @@
 }
 
 // Servers returns the listed servers.
-func (t *Source) Servers(ctx context.Context) (view.Servers, error) {
-	t.mu.Lock()
-	t.passed = nil
-	t.mu.Unlock()
-	return t.ServersAfter(ctx, noCursor, view.DefaultWait)
+func (s *Source) Servers(ctx context.Context) (view.Servers, error) {
+	s.mu.Lock()
+	s.delivered = nil
+	s.mu.Unlock()
+	return s.ServersAfter(ctx, noCursor, view.DefaultWait)
 }
 
-// ServersAfter returns what is new of the list of servers.
-func (t *Source) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+// ServersAfter waits for a change of the list of servers.
+func (s *Source) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
 	servers := view.Servers{Cursor: noCursor}
-	err := t.await(ctx, wait, &t.listRead, t.listPauseNow, func() bool {
-		if t.servers == nil {
+	err := s.awaitChange(ctx, wait, &s.listReadAt, s.nextListInterval, func() bool {
+		if s.servers == nil {
 			return false
 		}
-		news := changesOf(t.passed, t.servers)
-		if t.passed != nil && len(news.Present)+len(news.Gone) == 0 {
+		changes := diffServers(s.delivered, s.servers)
+		if s.delivered != nil && len(changes.Present)+len(changes.Gone) == 0 {
 			return false
 		}
-		servers, t.passed = news, maps.Clone(t.servers)
+		servers, s.delivered = changes, maps.Clone(s.servers)
 		return true
 	}, func(ctx context.Context) (err error) {
-		if servers, err = t.listed(ctx, cursor, wait); err == nil {
-			t.pass(servers)
+		if servers, err = s.readServers(ctx, cursor, wait); err == nil {
+			s.recordDelivered(servers)
 		}
 		return err
 	})
 	return servers, err
 }
 
-// listPauseNow returns how long after it was read the list is read again; mu is held.
-func (t *Source) listPauseNow() time.Duration {
-	if t.partial && !t.wholeNow {
-		return t.wholePause
+// nextListInterval returns the delay until the next read of the list; mu is held.
+func (s *Source) nextListInterval() time.Duration {
+	if s.partial && !s.fullReadRequested {
+		return s.fullReadDelay
 	}
-	return t.listPause
+	return s.listReadInterval
 }
 
-// pass notes what the view is given of what the store itself holds.
-func (t *Source) pass(servers view.Servers) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.passed == nil {
-		t.passed = make(map[string]contract.Server)
+// recordDelivered records servers read from the store that are returned to the view.
+func (s *Source) recordDelivered(servers view.Servers) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.delivered == nil {
+		s.delivered = make(map[string]contract.Server)
 	}
 	for _, server := range servers.Present {
-		t.passed[server.ID] = server
+		s.delivered[server.ID] = server
 	}
 	for _, id := range slices.Concat(servers.Gone, servers.Unread) {
-		delete(t.passed, id)
+		delete(s.delivered, id)
 	}
 }
 
-// listed reads the list from the store: the whole, as what is new, after entries told.
-func (t *Source) listed(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+// readServers reads changes from the store, or after a feed the full list, with the servers that are gone compared to the feed.
+func (s *Source) readServers(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
 	if cursor != noCursor {
-		return t.store.ServersAfter(ctx, cursor, wait)
+		return s.store.ServersAfter(ctx, cursor, wait)
 	}
-	servers, err := t.readList(ctx)
+	servers, err := s.readList(ctx)
 	if err != nil || servers.Partial {
 		return servers, err
 	}
-	there := make(map[string]bool, len(servers.Present))
+	present := make(map[string]bool, len(servers.Present))
 	for _, server := range servers.Present {
-		there[server.ID] = true
+		present[server.ID] = true
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for id := range t.passed {
-		if !there[id] {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for id := range s.delivered {
+		if !present[id] {
 			servers.Gone = append(servers.Gone, id)
 		}
 	}
 	return servers, nil
 }
 
-// readList reads the list from the store: the first time some servers of it.
-func (t *Source) readList(ctx context.Context) (servers view.Servers, err error) {
-	t.mu.Lock()
-	begun := t.begun || t.wholeNow
-	t.mu.Unlock()
-	some, ok := t.store.(someReader)
-	if begun || !ok {
-		servers, err = t.store.Servers(ctx)
+// readList reads the list from the store, only a part of it the first time.
+func (s *Source) readList(ctx context.Context) (servers view.Servers, err error) {
+	s.mu.Lock()
+	full := s.serversKnown || s.fullReadRequested
+	s.mu.Unlock()
+	partial, ok := s.store.(partialReader)
+	if full || !ok {
+		servers, err = s.store.Servers(ctx)
 	} else {
-		servers, err = some.SomeServers(ctx, someServers)
+		servers, err = partial.SomeServers(ctx, firstReadLimit)
 	}
 	if err == nil {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.begun, t.partial = true, servers.Partial
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		s.serversKnown, s.partial = true, servers.Partial
 	}
 	return servers, err
 }
 
-// changesOf returns what is new in a list after another.
-func changesOf(old, list map[string]contract.Server) view.Servers {
+// diffServers returns the changes from an old list to a new one.
+func diffServers(old, list map[string]contract.Server) view.Servers {
 	present, gone := contract.Changes(old, list)
 	return view.Servers{Present: present, Gone: gone, Cursor: noCursor}
 }
 
-// await takes what is told as soon as there is news, and reads the store when no entry tells for too long, at the earliest a
-// pause after the last time. News and pause are called with mu held. A call to the store ends when an entry begins to tell; await
-// returns without news after wait.
-func (t *Source) await(
-	ctx context.Context, wait time.Duration, last *time.Time, pause func() time.Duration, news func() bool, read func(context.Context) error,
+// awaitChange returns as soon as deliver finds a change in the feed, or after wait without one. While there is no feed it reads the
+// store, at most once per interval; such a read is cancelled when a feed starts. deliver and interval are called with mu held.
+func (s *Source) awaitChange(
+	ctx context.Context, wait time.Duration, lastRead *time.Time, interval func() time.Duration, deliver func() bool, read func(context.Context) error,
 ) error {
 	deadline := clock.Now().Add(wait)
 	for {
-		t.mu.Lock()
-		if news() {
-			t.mu.Unlock()
+		s.mu.Lock()
+		if deliver() {
+			s.mu.Unlock()
 			return nil
 		}
-		changed, until, alone := t.changed, deadline, !t.silentSince.IsZero()
-		if alone {
-			until = t.silentSince.Add(t.patience)
-			if next := last.Add(pause()); next.After(until) {
+		changed, until, inactive := s.changed, deadline, !s.inactiveSince.IsZero()
+		if inactive {
+			until = s.inactiveSince.Add(s.entryTimeout)
+			if next := lastRead.Add(interval()); next.After(until) {
 				until = next
 			}
 		}
-		t.mu.Unlock()
-		if alone && !clock.Now().Before(until) {
-			// What was read has been noted as passed on: dropped, the next change that is told would be taken for the whole list.
-			if err := t.readAlone(ctx, last, read); err == nil || ctx.Err() != nil || !t.Tells() {
+		s.mu.Unlock()
+		if inactive && !clock.Now().Before(until) {
+			// A successful read is already recorded as delivered, so it must be returned even if a feed has started.
+			if err := s.readStore(ctx, lastRead, read); err == nil || ctx.Err() != nil || !s.Tells() {
 				return err
 			}
 			continue
@@ -299,13 +294,13 @@
 		if err := waitFor(ctx, changed, until); err != nil {
 			return err
 		}
-		if t.Tells() && !clock.Now().Before(deadline) {
+		if s.Tells() && !clock.Now().Before(deadline) {
 			return nil
 		}
 	}
 }
 
-// waitFor waits for a change, until a time at most; it fails when ctx ends.
+// waitFor waits for a change or until a time; it fails when ctx ends.
 func waitFor(ctx context.Context, changed <-chan struct{}, until time.Time) error {
 	timer := time.NewTimer(clock.Until(until))
 	defer timer.Stop()
@@ -318,20 +313,20 @@
 	return nil
 }
 
-// readAlone reads the store until an entry tells, and notes when.
-func (t *Source) readAlone(ctx context.Context, last *time.Time, read func(context.Context) error) error {
+// readStore reads the store, cancels the read when a feed starts, and records when it ended.
+func (s *Source) readStore(ctx context.Context, lastRead *time.Time, read func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer func() {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		*last = clock.Now()
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		*lastRead = clock.Now()
 	}()
 	go func() {
-		for ctx.Err() == nil && !t.Tells() {
-			t.mu.Lock()
-			changed := t.changed
-			t.mu.Unlock()
+		for ctx.Err() == nil && !s.Tells() {
+			s.mu.Lock()
+			changed := s.changed
+			s.mu.Unlock()
 			select {
 			case <-ctx.Done():
 			case <-changed:
@@ -342,55 +337,55 @@
 	return read(ctx)
 }
 
-// Tells reports whether an entry tells.
-func (t *Source) Tells() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.silentSince.IsZero()
+// Tells reports whether an entry feeds this source.
+func (s *Source) Tells() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.inactiveSince.IsZero()
 }
 
-// Silent notes that no entry tells any more.
-func (t *Source) Silent() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.silentSince.IsZero() {
-		t.silentSince = clock.Now()
+// Silent records that no entry feeds this source any more.
+func (s *Source) Silent() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.inactiveSince.IsZero() {
+		s.inactiveSince = clock.Now()
 	}
-	t.declared, t.servers = nil, nil
-	t.wake()
+	s.declared, s.servers = nil, nil
+	s.notify()
 }
 
-// TakeDeclared takes the services that an entry told.
-func (t *Source) TakeDeclared(msg *link.Declared) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.declared = contract.NewConfig(msg.Revision, contract.Limits{}, nil, msg.Services, nil)
-	t.wake()
+// TakeDeclared applies the services that an entry sent.
+func (s *Source) TakeDeclared(msg *link.Declared) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.declared = contract.NewConfig(msg.Revision, contract.Limits{}, nil, msg.Services, nil)
+	s.notify()
 }
 
-// TakeServers takes the servers that an entry told; with the first, which are all, it has begun to tell.
-func (t *Source) TakeServers(msg *link.Servers) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// TakeServers applies servers that an entry sent. The feed starts with a full list; changes before that are ignored.
+func (s *Source) TakeServers(msg *link.Servers) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
 	case msg.Reset:
-		t.servers = make(map[string]contract.Server, len(msg.Present))
-		t.silentSince = time.Time{}
-		t.begun, t.partial = true, false
-	case t.servers == nil:
+		s.servers = make(map[string]contract.Server, len(msg.Present))
+		s.inactiveSince = time.Time{}
+		s.serversKnown, s.partial = true, false
+	case s.servers == nil:
 		return
 	}
 	for _, server := range msg.Present {
-		t.servers[server.ID] = server
+		s.servers[server.ID] = server
 	}
 	for _, id := range msg.Gone {
-		delete(t.servers, id)
+		delete(s.servers, id)
 	}
-	t.wake()
+	s.notify()
 }
 
-// wake tells of news; mu is held.
-func (t *Source) wake() {
-	close(t.changed)
-	t.changed = make(chan struct{})
+// notify wakes the waiting calls; mu is held.
+func (s *Source) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
--- a/told/source_test.go
+++ b/told/source_test.go
@@ -12,12 +12,12 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// countingStore is a store with one list of servers; a call on the feed waits.
+// countingStore is a store with a fixed list of servers that counts calls.
 type countingStore struct {
-	servers view.Servers
-	reads   int
-	waits   int
-	ended   int
+	servers   view.Servers
+	reads     int
+	waits     int
+	cancelled int
 }
 
 func (s *countingStore) Declared(context.Context) (view.Declared, error) {
@@ -37,14 +37,14 @@
 	s.waits++
 	select {
 	case <-ctx.Done():
-		s.ended++
+		s.cancelled++
 		return view.Servers{}, ctx.Err()
 	case <-time.After(wait):
 		return view.Servers{Cursor: cursor}, nil
 	}
 }
 
-func serversNamed(ids ...string) []contract.Server {
+func serversWithIDs(ids ...string) []contract.Server {
 	var servers []contract.Server
 	for _, id := range ids {
 		servers = append(servers, contract.Server{ID: id, Service: "s"})
@@ -53,81 +53,81 @@
 }
 
 func ids(servers []contract.Server) []string {
-	var named []string
+	var sorted []string
 	for _, server := range servers {
-		named = append(named, server.ID)
+		sorted = append(sorted, server.ID)
 	}
-	slices.Sort(named)
-	return named
+	slices.Sort(sorted)
+	return sorted
 }
 
 func TestTold(t *testing.T) {
-	for name, test := range map[string]func(t *testing.T, store *countingStore, told *Source){
-		"an entry that tells spares the store": func(t *testing.T, store *countingStore, told *Source) {
-			told.TakeServers(&link.Servers{Reset: true, Present: serversNamed("a", "b")})
-			whole, err := told.Servers(t.Context())
+	for name, test := range map[string]func(t *testing.T, store *countingStore, source *Source){
+		"with a feed the store is not called": func(t *testing.T, store *countingStore, source *Source) {
+			source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")})
+			whole, err := source.Servers(t.Context())
 			if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
 				t.Fatalf("%v, %v", ids(whole.Present), err)
 			}
 			time.AfterFunc(time.Second, func() {
-				told.TakeServers(&link.Servers{Present: serversNamed("c"), Gone: []string{"a"}})
+				source.TakeServers(&link.Servers{Present: serversWithIDs("c"), Gone: []string{"a"}})
 			})
-			news, err := told.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(news.Present), []string{"c"}) || !slices.Equal(news.Gone, []string{"a"}) {
-				t.Errorf("%v, gone %v, %v", ids(news.Present), news.Gone, err)
+			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || !slices.Equal(changes.Gone, []string{"a"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
 			}
 			if store.reads+store.waits != 0 {
-				t.Errorf("the store was asked %d times", store.reads+store.waits)
+				t.Errorf("%d calls to the store, want none", store.reads+store.waits)
 			}
 		},
-		"without an entry the store is read, after some time": func(t *testing.T, store *countingStore, told *Source) {
+		"without a feed the store is read after the timeout": func(t *testing.T, store *countingStore, source *Source) {
 			began := time.Now()
-			whole, err := told.Servers(t.Context())
+			whole, err := source.Servers(t.Context())
 			if err != nil || !slices.Equal(ids(whole.Present), []string{"a"}) || store.reads != 1 {
 				t.Fatalf("%v, %v", ids(whole.Present), err)
 			}
-			if took := time.Since(began); took < patience || took > patience+spread {
+			if took := time.Since(began); took < entryTimeout || took > entryTimeout+entryTimeoutJitter {
 				t.Errorf("the store is read after %s", took)
 			}
 		},
-		"a call to the store ends when an entry tells": func(t *testing.T, store *countingStore, told *Source) {
-			whole, err := told.Servers(t.Context())
+		"a call to the store is cancelled when a feed starts": func(t *testing.T, store *countingStore, source *Source) {
+			whole, err := source.Servers(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			time.AfterFunc(3*time.Second, func() {
-				told.TakeServers(&link.Servers{Reset: true, Present: serversNamed("b")})
+				source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
 			})
-			news, err := told.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(news.Present), []string{"b"}) || !slices.Equal(news.Gone, []string{"a"}) {
-				t.Errorf("%v, gone %v, %v", ids(news.Present), news.Gone, err)
+			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"b"}) || !slices.Equal(changes.Gone, []string{"a"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
 			}
-			if store.ended != 1 {
-				t.Error("the call to the store goes on")
+			if store.cancelled != 1 {
+				t.Error("the call to the store was not cancelled")
 			}
 		},
-		"when the entry falls silent the whole list is read": func(t *testing.T, _ *countingStore, told *Source) {
-			told.TakeServers(&link.Servers{Reset: true, Present: serversNamed("b")})
-			whole, err := told.Servers(t.Context())
+		"the full list is read when the feed is lost": func(t *testing.T, _ *countingStore, source *Source) {
+			source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
+			whole, err := source.Servers(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.AfterFunc(time.Second, told.Silent)
-			news, err := told.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(news.Present), []string{"a"}) || !slices.Equal(news.Gone, []string{"b"}) {
-				t.Errorf("%v, gone %v, %v", ids(news.Present), news.Gone, err)
+			time.AfterFunc(time.Second, source.Silent)
+			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"a"}) || !slices.Equal(changes.Gone, []string{"b"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
 			}
 		},
-		"news without the whole before is passed over": func(t *testing.T, _ *countingStore, told *Source) {
-			told.TakeServers(&link.Servers{Present: serversNamed("c")})
-			if told.Tells() {
-				t.Error("an entry counts as telling")
+		"a change before the full list is ignored": func(t *testing.T, _ *countingStore, source *Source) {
+			source.TakeServers(&link.Servers{Present: serversWithIDs("c")})
+			if source.Tells() {
+				t.Error("the feed counts as started")
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &countingStore{servers: view.Servers{Present: serversNamed("a"), Cursor: view.Cursor{Place: 7}}}
+				store := &countingStore{servers: view.Servers{Present: serversWithIDs("a"), Cursor: view.Cursor{Place: 7}}}
 				test(t, store, New(store))
 			})
 		})
@@ -136,73 +136,69 @@
 
 func TestToldConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := New(&countingStore{})
-		told.TakeServers(&link.Servers{Reset: true})
-		told.TakeDeclared(&link.Declared{Revision: 3, Services: []contract.Service{{Name: "o", Origin: "h:1"}}})
-		declared, err := told.Declared(t.Context())
+		source := New(&countingStore{})
+		source.TakeServers(&link.Servers{Reset: true})
+		source.TakeDeclared(&link.Declared{Revision: 3, Services: []contract.Service{{Name: "o", Origin: "h:1"}}})
+		declared, err := source.Declared(t.Context())
 		if err != nil || declared.Config.Revision != 3 || len(declared.Config.Origins()) != 1 {
 			t.Fatalf("%+v, %v", declared, err)
 		}
-		declared, err = told.DeclaredAfter(t.Context(), declared.Cursor, time.Second)
+		declared, err = source.DeclaredAfter(t.Context(), declared.Cursor, time.Second)
 		if err != nil || declared.Config != nil {
-			t.Errorf("%+v, %v, want no news", declared, err)
+			t.Errorf("%+v, %v, want no change", declared, err)
 		}
 	})
 }
 
-// tellingStore is a store beside whose answer an entry begins to tell.
-type tellingStore struct {
+// feedingStore is a store during whose read an entry's feed starts.
+type feedingStore struct {
 	countingStore
-	told *EntrySource
+	source *EntrySource
 }
 
-func (s *tellingStore) Servers(ctx context.Context) (view.Servers, error) {
-	s.told.TakeServers(&link.Servers{Reset: true, Present: s.servers.Present})
+func (s *feedingStore) Servers(ctx context.Context) (view.Servers, error) {
+	s.source.TakeServers(&link.Servers{Reset: true, Present: s.servers.Present})
 	return s.countingStore.Servers(ctx)
 }
 
-// TestTellingBeginsBesideARead proves that a list which was read as an entry began to tell is not dropped.
-//
-// What was seen: an entry of a large fleet that had just started believed in one server of three until it started again. The order of
-// events: it read the whole list; as the answer came the reader of its site began to tell; the answer was noted as passed on, and
-// dropped; the next change, told as a change, was taken for the whole list. The evidence: entries that were told and in touch, with
-// the one server that had come last, in 3 of 180 starts of four entries on a busy machine.
+// TestTellingBeginsBesideARead guards against dropping a list that was read just as a feed started: it is recorded as delivered, and
+// the next change would be mistaken for the full list.
 func TestTellingBeginsBesideARead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &tellingStore{countingStore: countingStore{servers: view.Servers{Present: serversNamed("a", "b"), Cursor: view.Cursor{Place: 1}}}}
-		store.told = NewForEntry(store, time.Second)
-		time.AfterFunc(500*time.Millisecond, func() { store.told.TakeServers(&link.Servers{Present: serversNamed("c")}) })
-		whole, err := store.told.Servers(t.Context())
+		store := &feedingStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Place: 1}}}}
+		store.source = NewForEntry(store, time.Second)
+		time.AfterFunc(500*time.Millisecond, func() { store.source.TakeServers(&link.Servers{Present: serversWithIDs("c")}) })
+		whole, err := store.source.Servers(t.Context())
 		if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
-			t.Errorf("the whole is %v, %v", ids(whole.Present), err)
+			t.Errorf("full list %v, %v", ids(whole.Present), err)
 		}
 		time.Sleep(time.Second)
-		news, err := store.told.ServersAfter(t.Context(), whole.Cursor, time.Second)
-		if err != nil || !slices.Equal(ids(news.Present), []string{"c"}) || len(news.Gone) > 0 {
-			t.Errorf("then %v, gone %v, %v", ids(news.Present), news.Gone, err)
+		changes, err := store.source.ServersAfter(t.Context(), whole.Cursor, time.Second)
+		if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || len(changes.Gone) > 0 {
+			t.Errorf("then %v, gone %v, %v", ids(changes.Present), changes.Gone, err)
 		}
 	})
 }
 
-// TestCallsWaitAsLongAsTheListIsRead proves that an entry's calls for the list are short only where others hear it from this one.
-func TestCallsWaitAsLongAsTheListIsRead(t *testing.T) {
+// TestMaxWaitAppliesOnlyWhileShared checks that an entry's calls for the list are shortened only while other entries depend on it.
+func TestMaxWaitAppliesOnlyWhileShared(t *testing.T) {
 	for name, test := range map[string]struct {
 		shared bool
 		want   time.Duration
 	}{
-		"each entry reads for itself": {false, 3 * time.Second},
-		"one reads for its site":      {true, time.Second},
+		"not shared": {false, 3 * time.Second},
+		"shared":     {true, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				told := NewForEntry(&countingStore{servers: view.Servers{Present: serversNamed("a")}}, time.Second)
-				told.Share(test.shared)
-				whole, err := told.Servers(t.Context())
+				source := NewForEntry(&countingStore{servers: view.Servers{Present: serversWithIDs("a")}}, time.Second)
+				source.Share(test.shared)
+				whole, err := source.Servers(t.Context())
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
-				if _, err := told.ServersAfter(t.Context(), whole.Cursor, 3*time.Second); err != nil {
+				if _, err := source.ServersAfter(t.Context(), whole.Cursor, 3*time.Second); err != nil {
 					t.Fatal(err)
 				}
 				if took := time.Since(began); took != test.want {
@@ -213,52 +209,52 @@
 	}
 }
 
-// longStore is a store with more servers than a daemon reads at first.
+// longStore is a store with more servers than the first read returns.
 type longStore struct {
 	countingStore
-	some int
+	partialReads int
 }
 
-func (s *longStore) SomeServers(_ context.Context, most int) (view.Servers, error) {
-	s.some++
-	return view.Servers{Present: serversNamed("a"), Partial: most < 3000, Cursor: view.Cursor{Place: 1}}, nil
+func (s *longStore) SomeServers(_ context.Context, limit int) (view.Servers, error) {
+	s.partialReads++
+	return view.Servers{Present: serversWithIDs("a"), Partial: limit < 3000, Cursor: view.Cursor{Place: 1}}, nil
 }
 
-// TestALongListIsReadByOne proves that a daemon that starts beside a long list reads some servers at once, and the whole only where no
-// entry tells it.
+// TestALongListIsReadByOne checks that a starting daemon reads a part of a long list at once, and all of it only if no entry sends it.
 func TestALongListIsReadByOne(t *testing.T) {
 	for name, test := range map[string]struct {
-		tell  time.Duration
-		reads time.Duration
-		// whole is when the whole list is known, at the earliest and at the latest; read is how often the store was asked for it.
-		least, most time.Duration
-		read        int
+		// fed is when a peer sends the full list, requested when a full read is requested.
+		fed       time.Duration
+		requested time.Duration
+		// earliest and latest bound when the full list is known; read is the number of full reads of the store.
+		earliest, latest time.Duration
+		read             int
 	}{
-		"an entry tells it":         {tell: 500 * time.Millisecond, least: 500 * time.Millisecond, most: 500 * time.Millisecond},
-		"this one reads for others": {reads: 300 * time.Millisecond, least: 300 * time.Millisecond, most: 300 * time.Millisecond, read: 1},
-		"nobody tells it":           {least: entryWholePause, most: 2 * entryWholePause, read: 1},
+		"a peer sends the list":    {fed: 500 * time.Millisecond, earliest: 500 * time.Millisecond, latest: 500 * time.Millisecond},
+		"this entry reads for all": {requested: 300 * time.Millisecond, earliest: 300 * time.Millisecond, latest: 300 * time.Millisecond, read: 1},
+		"no peer sends the list":   {earliest: entryFullReadDelay, latest: 2 * entryFullReadDelay, read: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversNamed("a", "b"), Cursor: view.Cursor{Place: 2}}}}
-				told := NewForEntry(store, time.Second)
+				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Place: 2}}}}
+				source := NewForEntry(store, time.Second)
 				began := time.Now()
-				first, err := told.Servers(t.Context())
-				if err != nil || !first.Partial || time.Since(began) > 0 || !told.Starting() {
+				first, err := source.Servers(t.Context())
+				if err != nil || !first.Partial || time.Since(began) > 0 || !source.Starting() {
 					t.Fatalf("first %+v, %v after %s", first, err, time.Since(began))
 				}
-				if test.tell > 0 {
-					time.AfterFunc(test.tell, func() { told.TakeServers(&link.Servers{Reset: true, Present: serversNamed("a", "b")}) })
+				if test.fed > 0 {
+					time.AfterFunc(test.fed, func() { source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")}) })
 				}
-				if test.reads > 0 {
-					time.AfterFunc(test.reads, told.ReadWhole)
+				if test.requested > 0 {
+					time.AfterFunc(test.requested, source.ReadWhole)
 				}
-				whole, err := told.Servers(t.Context())
-				if err != nil || whole.Partial || !slices.Equal(ids(whole.Present), []string{"a", "b"}) || told.Starting() {
+				whole, err := source.Servers(t.Context())
+				if err != nil || whole.Partial || !slices.Equal(ids(whole.Present), []string{"a", "b"}) || source.Starting() {
 					t.Errorf("then %+v, %v", whole, err)
 				}
-				if took := time.Since(began); took < test.least || took > test.most || store.reads != test.read || store.some != 1 {
-					t.Errorf("known after %s, want %s to %s; read %d times, want %d", took, test.least, test.most, store.reads, test.read)
+				if took := time.Since(began); took < test.earliest || took > test.latest || store.reads != test.read || store.partialReads != 1 {
+					t.Errorf("known after %s, want %s to %s; read %d times, want %d", took, test.earliest, test.latest, store.reads, test.read)
 				}
 			})
 		})
