--- a/entry/boxes.go
+++ b/entry/boxes.go
@@ -17,66 +17,65 @@
 )
 
 const (
-	boxesEvery     = 250 * time.Millisecond
-	heartbeatEvery = time.Second
-	dialTimeout    = 3 * time.Second
-	dialPause      = 500 * time.Millisecond
-	// suspectAfter is the silence after which a box gets no new work.
+	reconcileInterval = 250 * time.Millisecond
+	heartbeatInterval = time.Second
+	dialTimeout       = 3 * time.Second
+	redialDelay       = 500 * time.Millisecond
+	// suspectAfter is the time without a heartbeat after which a box gets no new requests.
 	suspectAfter = 2500 * time.Millisecond
-	// deadAfter is the silence after which the link is given up, and with it what is in progress there.
+	// deadAfter is the time without a heartbeat after which the link is closed, and with it the requests in progress.
 	deadAfter = 10 * time.Second
-	// retireTime is how long a link to a daemon that has moved stays at least: requests may be about to be sent there.
-	retireTime = time.Second
+	// minRetireTime is how long the link to a replaced daemon stays open at least, since requests may be about to be sent on it.
+	minRetireTime = time.Second
 )
 
-// boxes keeps a link to each live box of the fleet and what each last said of itself.
+// boxes keeps a link to each live box of the fleet, with the box's latest heartbeat.
 type boxes struct {
 	entry *Entry
 
-	mu      sync.Mutex
-	links   map[string]*boxLink
-	dialing map[membership.Member]bool
-	after   map[string]time.Time
-	// retired are links to daemons that the list names elsewhere now, and since when: they end with what is in progress there.
+	mu       sync.Mutex
+	links    map[string]*boxLink
+	dialing  map[membership.Member]bool
+	redialAt map[string]time.Time
+	// retired holds links to replaced daemons and when they were replaced; they close when their requests are finished.
 	retired map[*boxLink]time.Time
 	dials   int64
 }
 
-// boxLink is the link to one box.
 type boxLink struct {
 	member      membership.Member
 	conn        *link.Conn
 	client      *relay.Client
 	incarnation string
 
-	// The rest is guarded by the boxes' mutex.
-	beat    *link.Heartbeat
-	beatAt  time.Time
-	beatOwn int
-	// newsAt is when the box last told what it offers, or that it has answered a request.
-	newsAt   time.Time
-	inFlight int
+	// The fields below are guarded by boxes.mu.
+	heartbeat      *link.Heartbeat
+	heartbeatAt    time.Time
+	ownAtHeartbeat int
+	// updatedAt is when the box last sent a heartbeat or completed a request.
+	updatedAt time.Time
+	inFlight  int
 }
 
 func newBoxes(e *Entry) *boxes {
 	return &boxes{
-		entry:   e,
-		links:   make(map[string]*boxLink),
-		dialing: make(map[membership.Member]bool),
-		after:   make(map[string]time.Time),
-		retired: make(map[*boxLink]time.Time),
+		entry:    e,
+		links:    make(map[string]*boxLink),
+		dialing:  make(map[membership.Member]bool),
+		redialAt: make(map[string]time.Time),
+		retired:  make(map[*boxLink]time.Time),
 	}
 }
 
-// Serve opens a link to each live box until ctx ends.
+// Serve keeps a link to each live box until ctx ends.
 func (b *boxes) Serve(ctx context.Context) error {
-	ticker := time.NewTicker(boxesEvery)
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
 		for _, member := range b.entry.members.Boxes() {
-			b.want(ctx, member)
+			b.ensureLink(ctx, member)
 		}
-		b.giveUpSilent()
+		b.abandonSilent()
 		changed := b.entry.members.Changed()
 		select {
 		case <-ctx.Done():
@@ -88,7 +87,7 @@
 	}
 }
 
-// Report returns what each box last said of itself; boxes on the list that were never heard are in it.
+// Report returns the state of each listed box by its latest heartbeat, also of boxes that have not sent one.
 func (b *boxes) Report() []operate.BoxReport {
 	var reports []operate.BoxReport
 	b.mu.Lock()
@@ -98,7 +97,7 @@
 			continue
 		}
 		report := operate.BoxReport{ID: member.ID, Site: member.Site, Service: member.Service, Heard: -1, Leaving: member.Leaving}
-		if l := b.links[member.ID]; l != nil && l.beat != nil {
+		if l := b.links[member.ID]; l != nil && l.heartbeat != nil {
 			report = l.report(report, time.Now())
 		}
 		reports = append(reports, report)
@@ -106,18 +105,18 @@
 	return reports
 }
 
-// anyOffers reports whether any box serves a service now; mu is held.
-func (b *boxes) anyOffers(cfg fleet.Config, name string, now time.Time) bool {
+// anyAccepts reports whether any box accepts requests for a service; mu is held.
+func (b *boxes) anyAccepts(cfg fleet.Config, name string, now time.Time) bool {
 	service, allowed := cfg.Services[name], cfg.Digests(name)
 	for id, l := range b.links {
-		if !cfg.Stopped[id] && l.offers(service, allowed, now) {
+		if !cfg.Stopped[id] && l.accepts(service, allowed, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// broadcast sends a message to all boxes without waiting for any.
+// broadcast sends a message to all boxes without blocking.
 func (b *boxes) broadcast(msg link.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,8 +125,8 @@
 	}
 }
 
-// candidates returns the boxes that serve the service in a version that the configuration knows, and have room. With
-// a pin they serve just that version, and their engines can go on with a stream.
+// candidates returns the boxes with free slots that serve the service in a version of the configuration. With a pinned digest they
+// serve that version and can resume its streams.
 func (b *boxes) candidates(service fleet.Service, pin string, now time.Time) []route.Candidate {
 	cfg := b.entry.follower.Config()
 	allowed := cfg.Digests(service.Name)
@@ -136,40 +135,40 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var found []route.Candidate
+	var candidates []route.Candidate
 	for id, l := range b.links {
-		if cfg.Stopped[id] || !l.offers(service, allowed, now) || pin != "" && !l.beat.Resumes {
+		if cfg.Stopped[id] || !l.accepts(service, allowed, now) || pin != "" && !l.heartbeat.Resumes {
 			continue
 		}
-		c := route.Candidate{ID: id, InFlight: l.inFlight, Reported: l.beat.Load, ReportedOwn: l.beatOwn}
-		slots := slotsOf(l.beat)
-		if c.Load() < slots || c.InFlight < slots/max(1, l.beat.Entries) {
-			found = append(found, c)
+		c := route.Candidate{ID: id, InFlight: l.inFlight, Reported: l.heartbeat.Load, ReportedOwn: l.ownAtHeartbeat}
+		slots := slotsOf(l.heartbeat)
+		if c.Load() < slots || c.InFlight < slots/max(1, l.heartbeat.Entries) {
+			candidates = append(candidates, c)
 		}
 	}
-	return found
+	return candidates
 }
 
 func (b *boxes) closeAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, l := range b.all() {
+	for _, l := range b.allLinks() {
 		l.conn.Close()
 	}
 }
 
-// all returns the links in use and those that only finish what is in progress; mu is held.
-func (b *boxes) all() []*boxLink {
+// allLinks returns the links in use and the retired ones; mu is held.
+func (b *boxes) allLinks() []*boxLink {
 	return slices.AppendSeq(slices.Collect(maps.Values(b.links)), maps.Keys(b.retired))
 }
 
-// dial opens one link and runs it until it ends.
+// dial opens one link and serves it until it ends.
 func (b *boxes) dial(ctx context.Context, member membership.Member) {
 	defer func() {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		delete(b.dialing, member)
-		b.after[member.ID] = time.Now().Add(dialPause/2 + rand.N(dialPause))
+		b.redialAt[member.ID] = time.Now().Add(redialDelay/2 + rand.N(redialDelay))
 	}()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -189,30 +188,29 @@
 		return
 	}
 	if hello, ok := msg.(*link.Hello); ok && hello.ID == member.ID {
-		b.run(conn, member, hello)
+		b.serveLink(conn, member, hello)
 	}
 }
 
-// giveUpSilent gives up what may be run elsewhere at boxes that are silent, as long as another serves, and the links to those
-// that have been for long; links to daemons that have moved it ends once they have finished.
-func (b *boxes) giveUpSilent() {
+// abandonSilent abandons repeatable requests at boxes without heartbeats if another box serves them. It closes the links to dead boxes
+// and the retired links that have finished.
+func (b *boxes) abandonSilent() {
 	cfg, now := b.entry.follower.Config(), time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, l := range b.all() {
-		silent := now.Sub(l.beatAt)
-		if silent > suspectAfter && b.anyOffers(cfg, l.member.Service, now) {
+	for _, l := range b.allLinks() {
+		silent := now.Sub(l.heartbeatAt)
+		if silent > suspectAfter && b.anyAccepts(cfg, l.member.Service, now) {
 			l.client.Abandon()
 		}
 		since, retired := b.retired[l]
-		finished := retired && now.Sub(since) > retireTime && l.client.InFlight() == 0
+		finished := retired && now.Sub(since) > minRetireTime && l.client.InFlight() == 0
 		if silent > deadAfter || finished {
 			l.conn.Close()
 		}
 	}
 }
 
-// link returns the link to a box.
 func (b *boxes) link(id string) (*boxLink, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -220,13 +218,13 @@
 	return l, ok
 }
 
-// place chooses a box for a request, and reserves room there: one not tried, or else one that told news since.
-func (b *boxes) place(service fleet.Service, pin string, tried map[string]time.Time) (id string, ok bool) {
+// reserveBox picks a box for a request and reserves a slot there: a box not tried yet, or one updated since it was tried.
+func (b *boxes) reserveBox(service fleet.Service, pin string, tried map[string]time.Time) (id string, ok bool) {
 	now := time.Now()
 	all := b.candidates(service, pin, now)
 	candidates := route.Without(all, slices.Collect(maps.Keys(tried)))
 	if len(candidates) == 0 {
-		candidates = route.Without(all, b.withoutNews(tried))
+		candidates = route.Without(all, b.notUpdatedSince(tried))
 	}
 	picked, ok := b.entry.cfg.Picker.Pick(b.entry.health.Filter(candidates, now))
 	if !ok {
@@ -242,7 +240,7 @@
 	return picked.ID, true
 }
 
-// release gives the room at a box back.
+// release frees a slot at a box.
 func (b *boxes) release(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -251,20 +249,20 @@
 	}
 }
 
-// resumes reports whether a box, when last heard, had an engine that goes on with broken-off streams. A box whose link
-// has just ended is taken to have had one: what counts is the box to go on at.
+// resumes reports whether a box's engine can resume interrupted streams. A box without a link counts as able, since the box on which
+// the stream resumes is checked too.
 func (b *boxes) resumes(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l, ok := b.links[id]
-	return !ok || l.beat == nil || l.beat.Resumes
+	return !ok || l.heartbeat == nil || l.heartbeat.Resumes
 }
 
-// run uses a greeted link until it ends.
-func (b *boxes) run(conn *link.Conn, member membership.Member, hello *link.Hello) {
+// serveLink serves a link after the handshake until it ends.
+func (b *boxes) serveLink(conn *link.Conn, member membership.Member, hello *link.Hello) {
 	l := &boxLink{
 		member: member, conn: conn, incarnation: hello.Incarnation,
-		client: relay.NewClient(conn.Context(), conn), beatAt: time.Now(),
+		client: relay.NewClient(conn.Context(), conn), heartbeatAt: time.Now(),
 	}
 	b.mu.Lock()
 	b.links[member.ID] = l
@@ -280,8 +278,8 @@
 		b.entry.log.WithField("box", member.ID).Info("entry: link ended")
 	}()
 	b.entry.log.WithField("box", member.ID).Info("entry: link up")
-	b.entry.hear(conn, hello.Revision)
-	go b.beat(conn)
+	b.entry.syncRevision(conn, hello.Revision)
+	go b.sendHeartbeats(conn)
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
@@ -289,11 +287,11 @@
 		}
 		switch m := msg.(type) {
 		case *link.Heartbeat:
-			b.take(l, m)
+			b.handleHeartbeat(l, m)
 		case *link.Config:
 			b.entry.follower.Offer(m.Config)
 		case *link.End:
-			b.noteEnd(l, m)
+			b.handleEnd(l, m)
 			l.client.Handle(msg)
 		default:
 			l.client.Handle(msg)
@@ -301,9 +299,9 @@
 	}
 }
 
-// beat tells the box the entry's revision each second.
-func (b *boxes) beat(conn *link.Conn) {
-	ticker := time.NewTicker(heartbeatEvery)
+// sendHeartbeats sends the entry's revision to the box at each interval.
+func (b *boxes) sendHeartbeats(conn *link.Conn) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		if conn.Send(conn.Context(), &link.Heartbeat{Revision: b.entry.follower.Config().Revision}) != nil {
@@ -317,37 +315,36 @@
 	}
 }
 
-// noteEnd takes the load that a box tells with an answer, which is newer than its last heartbeat.
-func (b *boxes) noteEnd(l *boxLink, end *link.End) {
+// handleEnd applies the load that a box sends with the end of a response, which is newer than its last heartbeat.
+func (b *boxes) handleEnd(l *boxLink, end *link.End) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l.beat == nil {
+	if l.heartbeat == nil {
 		return
 	}
-	beat := *l.beat
+	beat := *l.heartbeat
 	beat.Load = end.Load
-	l.beat = &beat
-	l.beatOwn = max(0, l.inFlight-1)
+	l.heartbeat = &beat
+	l.ownAtHeartbeat = max(0, l.inFlight-1)
 	if end.Outcome == link.OutcomeRan {
-		l.newsAt = time.Now()
+		l.updatedAt = time.Now()
 	}
 }
 
-// take notes a box's heartbeat.
-func (b *boxes) take(l *boxLink, beat *link.Heartbeat) {
+func (b *boxes) handleHeartbeat(l *boxLink, beat *link.Heartbeat) {
 	b.mu.Lock()
-	l.beat = beat
-	l.beatAt = time.Now()
-	l.newsAt = l.beatAt
-	l.beatOwn = l.inFlight
+	l.heartbeat = beat
+	l.heartbeatAt = time.Now()
+	l.updatedAt = l.heartbeatAt
+	l.ownAtHeartbeat = l.inFlight
 	b.mu.Unlock()
-	b.entry.hear(l.conn, beat.Revision)
-	b.entry.kick(l.member.Service)
+	b.entry.syncRevision(l.conn, beat.Revision)
+	b.entry.dispatch(l.member.Service)
 }
 
-// want opens a link to a box that the list names, unless there is one. One to a daemon at another address finishes what is in
-// progress there; one at the same address has ended, since a later daemon could not have its port.
-func (b *boxes) want(ctx context.Context, member membership.Member) {
+// ensureLink opens a link to a listed box unless there is one. A link to a daemon at another address is retired; an older daemon at the
+// same address must have exited, since the new one has its port.
+func (b *boxes) ensureLink(ctx context.Context, member membership.Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.links[member.ID]
@@ -357,54 +354,54 @@
 		b.retired[l] = time.Now()
 		delete(b.links, member.ID)
 		l = nil
-	case newer(l, member):
+	case isNewerDaemon(l, member):
 		l.conn.Close()
 	}
-	if l != nil || b.dialing[member] || time.Now().Before(b.after[member.ID]) {
+	if l != nil || b.dialing[member] || time.Now().Before(b.redialAt[member.ID]) {
 		return
 	}
 	b.dialing[member] = true
 	go b.dial(ctx, member)
 }
 
-// withoutNews returns those of the tried boxes that told no news since.
-func (b *boxes) withoutNews(tried map[string]time.Time) []string {
+// notUpdatedSince returns the boxes that have sent no update since they were tried.
+func (b *boxes) notUpdatedSince(tried map[string]time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ids []string
 	for id, at := range tried {
-		if l, ok := b.links[id]; ok && !l.newsAt.After(at) {
+		if l, ok := b.links[id]; ok && !l.updatedAt.After(at) {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// newer reports whether the list knows of another daemon of a box than the one linked.
-func newer(l *boxLink, member membership.Member) bool {
+// isNewerDaemon reports whether the list has a newer incarnation of the box's daemon than the linked one.
+func isNewerDaemon(l *boxLink, member membership.Member) bool {
 	return member.Incarnation != "" && l.incarnation != "" && member.Incarnation != l.incarnation && member.Incarnation > l.incarnation
 }
 
-// offers reports whether the box serves the service in one of the allowed versions and was heard lately.
-func (l *boxLink) offers(service fleet.Service, allowed map[string]bool, now time.Time) bool {
-	if l.beat == nil || now.Sub(l.beatAt) > suspectAfter {
+// accepts reports whether the box serves the service in an allowed version and sent a heartbeat recently.
+func (l *boxLink) accepts(service fleet.Service, allowed map[string]bool, now time.Time) bool {
+	if l.heartbeat == nil || now.Sub(l.heartbeatAt) > suspectAfter {
 		return false
 	}
-	offered := l.beat.Service
-	if l.beat.Leaving || l.beat.Stopped || !offered.Open || offered.Service != service.Name {
+	state := l.heartbeat.Service
+	if l.heartbeat.Leaving || l.heartbeat.Stopped || !state.Open || state.Service != service.Name {
 		return false
 	}
-	return service.Kind == fleet.KindPlain || allowed[offered.Digest]
+	return service.Kind == fleet.KindPlain || allowed[state.Digest]
 }
 
 func (l *boxLink) report(report operate.BoxReport, now time.Time) operate.BoxReport {
-	report.State, report.Version = l.beat.Service.State, l.beat.Service.Version
-	report.Revision, report.Load = l.beat.Revision, l.beat.Load
-	report.Heard = now.Sub(l.beatAt)
-	report.Leaving = report.Leaving || l.beat.Leaving
-	report.Have, report.Chunks = l.beat.Progress.Have, l.beat.Progress.Chunks
-	report.OriginBytes, report.PeerBytes = l.beat.Progress.OriginBytes, l.beat.Progress.PeerBytes
-	report.GivenBytes, report.Rejected = l.beat.Progress.GivenBytes, l.beat.Progress.Rejected
+	report.State, report.Version = l.heartbeat.Service.State, l.heartbeat.Service.Version
+	report.Revision, report.Load = l.heartbeat.Revision, l.heartbeat.Load
+	report.Heard = now.Sub(l.heartbeatAt)
+	report.Leaving = report.Leaving || l.heartbeat.Leaving
+	report.Have, report.Chunks = l.heartbeat.Progress.Have, l.heartbeat.Progress.Chunks
+	report.OriginBytes, report.PeerBytes = l.heartbeat.Progress.OriginBytes, l.heartbeat.Progress.PeerBytes
+	report.GivenBytes, report.Rejected = l.heartbeat.Progress.GivenBytes, l.heartbeat.Progress.Rejected
 	return report
 }
 
--- a/entry/boxfixture_test.go
+++ b/entry/boxfixture_test.go
@@ -19,19 +19,19 @@
 	fakeFleet   = "f"
 	fakeService = "s"
 	fakeSlots   = 4
-	// listEvery is how often the entry reads the list of a test, fakeWait how long a test waits for the entry.
-	listEvery = 10 * time.Millisecond
-	fakeWait  = 5 * time.Second
+	// listInterval is how often the entry reads the list of boxes, testTimeout how long a test waits for the entry.
+	listInterval = 10 * time.Millisecond
+	testTimeout  = 5 * time.Second
 )
 
-// answering is what a box does with its nth request, from 1.
-type answering func(b *fakeBox, n int, id uint64)
+// responder responds to a box's nth request, counted from 1.
+type responder func(b *fakeBox, n int, id uint64)
 
-// fakeBox is a box at the other end of a link: it runs a request or says that it does not.
+// fakeBox is a box that responds to requests as a test sets.
 type fakeBox struct {
 	t       *testing.T
 	member  membership.Member
-	answer  answering
+	respond responder
 	resumes bool
 
 	mu       sync.Mutex
@@ -40,7 +40,7 @@
 	cancels  int
 }
 
-// ServeHTTP takes the entry's link.
+// ServeHTTP serves the entry's link.
 func (b *fakeBox) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn, err := link.Accept(w, r, nil)
 	if err != nil {
@@ -54,23 +54,23 @@
 	b.conn = conn
 	b.mu.Unlock()
 	b.send(&link.Hello{ID: b.member.ID, Role: string(membership.RoleBox), Fleet: fakeFleet, Incarnation: b.member.Incarnation, Revision: 1})
-	b.tell(true, false)
+	b.sendHeartbeat(true, false)
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		b.take(msg)
+		b.handle(msg)
 	}
 }
 
-func (b *fakeBox) take(msg link.Message) {
+func (b *fakeBox) handle(msg link.Message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch m := msg.(type) {
 	case *link.Request:
 		b.requests++
-		go b.answer(b, b.requests, m.ID)
+		go b.respond(b, b.requests, m.ID)
 	case *link.Cancel:
 		b.cancels++
 	}
@@ -83,21 +83,21 @@
 	_ = conn.Send(conn.Context(), msg)
 }
 
-func (b *fakeBox) asked() int {
+func (b *fakeBox) requestCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.requests
 }
 
-// ended reports whether the entry has ended its link.
-func (b *fakeBox) ended() bool {
+// linkEnded reports whether the entry has closed its link.
+func (b *fakeBox) linkEnded() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.conn.Context().Err() != nil
 }
 
-// tell has the entry hear what the box offers.
-func (b *fakeBox) tell(open, leaving bool) {
+// sendHeartbeat sends a heartbeat with the box's state.
+func (b *fakeBox) sendHeartbeat(open, leaving bool) {
 	b.send(&link.Heartbeat{
 		Revision: 1, Slots: fakeSlots, Entries: 1, Leaving: leaving, Resumes: b.resumes,
 		Service: link.ServiceState{Service: fakeService, Open: open},
@@ -112,8 +112,8 @@
 
 func (b *fakeBox) end(id uint64, outcome link.Outcome) { b.send(&link.End{ID: id, Outcome: outcome}) }
 
-// good answers a request whole.
-func good(b *fakeBox, _ int, id uint64) {
+// respondOK sends a complete response.
+func respondOK(b *fakeBox, _ int, id uint64) {
 	b.head(id, "text/plain")
 	b.data(id, "hello")
 	b.end(id, link.OutcomeRan)
@@ -127,7 +127,7 @@
 	members []membership.Member
 }
 
-// Members returns the list.
+// Members returns the listed boxes.
 func (l *fakeList) Members(context.Context) ([]membership.Member, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,26 +140,26 @@
 	l.members = members
 }
 
-// boxWorld is an entry with links to boxes that serve a plain service.
-type boxWorld struct {
+// testEnv is an entry with links to fake boxes that serve a plain service.
+type testEnv struct {
 	t     *testing.T
 	entry *Entry
 	list  *fakeList
 	boxes []*fakeBox
 }
 
-func newBoxWorld(t *testing.T, answers ...answering) *boxWorld {
+func newTestEnv(t *testing.T, responders ...responder) *testEnv {
 	t.Helper()
 	checks := new(invariant.Recorder)
-	w := &boxWorld{t: t, list: new(fakeList)}
-	w.entry = New(Config{ID: "e", Fleet: fakeFleet, Checks: checks, List: w.list, ListInterval: listEvery})
+	w := &testEnv{t: t, list: new(fakeList)}
+	w.entry = New(Config{ID: "e", Fleet: fakeFleet, Checks: checks, List: w.list, ListInterval: listInterval})
 	w.entry.follower.Offer(fleet.Config{
 		Fleet: fakeFleet, Revision: 1,
 		Services: map[string]fleet.Service{fakeService: {Name: fakeService, Kind: fleet.KindPlain}},
 	})
 	var members []membership.Member
-	for i, answer := range answers {
-		w.boxes = append(w.boxes, newFakeBox(t, string(rune('a'+i)), "1", answer))
+	for i, respond := range responders {
+		w.boxes = append(w.boxes, newFakeBox(t, string(rune('a'+i)), "1", respond))
 		members = append(members, w.boxes[i].member)
 	}
 	w.list.set(members...)
@@ -171,13 +171,13 @@
 			t.Error(broken)
 		}
 	})
-	w.await(func() bool { return w.offering() == len(answers) })
+	w.waitFor(func() bool { return w.accepting() == len(responders) })
 	return w
 }
 
-func newFakeBox(t *testing.T, id, incarnation string, answer answering) *fakeBox {
+func newFakeBox(t *testing.T, id, incarnation string, respond responder) *fakeBox {
 	t.Helper()
-	b := &fakeBox{t: t, answer: answer}
+	b := &fakeBox{t: t, respond: respond}
 	server := httptest.NewServer(b)
 	t.Cleanup(server.CloseClientConnections)
 	b.member = membership.Member{
@@ -187,8 +187,8 @@
 	return b
 }
 
-// ask sends a repeatable request and returns what the caller got, also of an answer that the entry broke off.
-func (w *boxWorld) ask(patience time.Duration) (got *httptest.ResponseRecorder) {
+// request sends a repeatable request and returns the response, also one that was interrupted.
+func (w *testEnv) request(timeout time.Duration) (got *httptest.ResponseRecorder) {
 	w.t.Helper()
 	got = httptest.NewRecorder()
 	defer func() {
@@ -198,21 +198,21 @@
 	}()
 	w.entry.run(w.t.Context(), got, callerRequest{
 		id: "r", service: w.entry.follower.Config().Services[fakeService], method: http.MethodGet, path: "/",
-		header: http.Header{}, deadline: time.Now().Add(patience), repeatable: true,
+		header: http.Header{}, deadline: time.Now().Add(timeout), repeatable: true,
 	})
 	return got
 }
 
-// await waits until something holds.
-func (w *boxWorld) await(holds func() bool) {
+// waitFor waits until a condition holds.
+func (w *testEnv) waitFor(holds func() bool) {
 	w.t.Helper()
-	for deadline := time.Now().Add(fakeWait); !holds(); time.Sleep(listEvery) {
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(listInterval) {
 		if time.Now().After(deadline) {
-			w.t.Fatal("waited in vain")
+			w.t.Fatal("timed out waiting for a condition")
 		}
 	}
 }
 
-func (w *boxWorld) offering() int {
+func (w *testEnv) accepting() int {
 	return len(w.entry.boxes.candidates(w.entry.follower.Config().Services[fakeService], "", time.Now()))
 }
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -19,27 +19,27 @@
 
 // Headers that callers send and read.
 const (
-	HeaderRequestID = "X-Request-Id"
-	HeaderTimeout   = "X-Request-Timeout"
-	HeaderPriority  = "X-Priority"
-	HeaderOnceKey   = "Idempotency-Key"
-	HeaderOutcome   = "X-Coralstair-Outcome"
-	HeaderBox       = "X-Coralstair-Box"
-	HeaderVersion   = "X-Coralstair-Version"
-	HeaderReplayed  = "X-Coralstair-Replayed"
+	HeaderRequestID      = "X-Request-Id"
+	HeaderTimeout        = "X-Request-Timeout"
+	HeaderPriority       = "X-Priority"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderOutcome        = "X-Coralstair-Outcome"
+	HeaderBox            = "X-Coralstair-Box"
+	HeaderVersion        = "X-Coralstair-Version"
+	HeaderReplayed       = "X-Coralstair-Replayed"
 )
 
-// HeaderResume tells an engine how many events of a stream the caller has already: it goes on after them.
+// HeaderResume is the number of events of a stream that the caller already has; the engine resumes after them.
 const HeaderResume = "X-Resume-Events"
 
 const (
-	maxRequestID = 128
-	maxOnceKey   = 255
-	maxTimeout   = 30 * time.Minute
-	leaveRetry   = time.Second
+	maxRequestID      = 128
+	maxIdempotencyKey = 255
+	maxTimeout        = 30 * time.Minute
+	leavingRetryAfter = time.Second
 )
 
-// callerRequest is one caller's request as the entry handles it.
+// callerRequest is a caller's request after authentication and validation.
 type callerRequest struct {
 	id       string
 	team     fleet.Team
@@ -50,26 +50,26 @@
 	body     []byte
 	deadline time.Time
 	priority int
-	// onceKey marks a request that must not be repeated and that is claimed under this key.
-	onceKey string
-	// repeatable says that the request may be run again when it is not known whether it ran.
+	// idempotencyKey, if set, marks a request that runs at most once and is claimed under this key.
+	idempotencyKey string
+	// repeatable says that the request may be sent again if it is unknown whether it ran.
 	repeatable bool
 }
 
-// chatRouting is the part of a chat completion request that routing reads.
+// chatRouting is the part of a chat completion request that routing needs.
 type chatRouting struct {
 	Model string `json:"model"`
 }
 
-// serveChat takes a chat completion request for a model service.
+// serveChat handles a chat completion request for a model service.
 func (e *Entry) serveChat(w http.ResponseWriter, r *http.Request) {
-	req, ok := e.read(w, r)
+	req, ok := e.readRequest(w, r)
 	if !ok {
 		return
 	}
 	var routing chatRouting
 	if err := json.Unmarshal(req.body, &routing); err != nil || routing.Model == "" {
-		e.refuse(w, notRun(http.StatusBadRequest, "bad-body", "the body names no model in JSON", req.id))
+		e.refuse(w, notRun(http.StatusBadRequest, "bad-body", "the body is not JSON with a model name", req.id))
 		return
 	}
 	req.path = "/v1/chat/completions"
@@ -77,9 +77,9 @@
 	e.serveService(w, r, req, routing.Model, fleet.KindModel)
 }
 
-// servePlain takes a request for a plain service.
+// servePlain handles a request for a plain service.
 func (e *Entry) servePlain(w http.ResponseWriter, r *http.Request) {
-	req, ok := e.read(w, r)
+	req, ok := e.readRequest(w, r)
 	if !ok {
 		return
 	}
@@ -95,7 +95,7 @@
 func (e *Entry) serveService(w http.ResponseWriter, r *http.Request, req callerRequest, name string, kind fleet.Kind) {
 	cfg := e.follower.Config()
 	if cfg.Revision == 0 {
-		e.refuse(w, notRun(http.StatusServiceUnavailable, "no-configuration", "no configuration has been seen yet", req.id).WithRetryAfter(leaveRetry))
+		e.refuse(w, notRun(http.StatusServiceUnavailable, "no-configuration", "no configuration is known yet", req.id).WithRetryAfter(leavingRetryAfter))
 		return
 	}
 	service, ok := serviceOf(cfg, name, kind)
@@ -105,14 +105,14 @@
 	}
 	req.service = service
 	req.team = withName(cfg.Teams[req.team.Name], req.team.Name)
-	req.onceKey = r.Header.Get(HeaderOnceKey)
-	if service.Once || req.onceKey != "" {
+	req.idempotencyKey = r.Header.Get(HeaderIdempotencyKey)
+	if service.Once || req.idempotencyKey != "" {
 		req.repeatable = false
 	}
 	e.active.Add(1)
 	defer e.active.Done()
 	if e.leaving.Load() {
-		e.refuse(w, notRun(http.StatusServiceUnavailable, "leaving", "this entry is leaving", req.id).WithRetryAfter(leaveRetry))
+		e.refuse(w, notRun(http.StatusServiceUnavailable, "leaving", "this entry is leaving", req.id).WithRetryAfter(leavingRetryAfter))
 		return
 	}
 	ctx, span := tracing.Start(tracing.Extract(r.Context(), r.Header), "entry",
@@ -121,19 +121,19 @@
 	e.run(ctx, w, req)
 }
 
-// read reads and checks what all requests have in common; a bad one is answered.
-func (e *Entry) read(w http.ResponseWriter, r *http.Request) (callerRequest, bool) {
+// readRequest reads and validates what all requests have in common; it refuses an invalid request.
+func (e *Entry) readRequest(w http.ResponseWriter, r *http.Request) (callerRequest, bool) {
 	req := callerRequest{method: r.Method, id: r.Header.Get(HeaderRequestID)}
 	if req.id == "" || len(req.id) > maxRequestID {
 		req.id = uuid.NewString()
 	}
 	w.Header().Set(HeaderRequestID, req.id)
-	key, ok := e.identify(w, r)
+	key, ok := e.authenticate(w, r)
 	if !ok {
 		return req, false
 	}
 	if key.Role != keys.RoleTeam {
-		e.refuse(w, notRun(http.StatusForbidden, "role", "an operator's key sends no requests", req.id))
+		e.refuse(w, notRun(http.StatusForbidden, "role", "an operator key cannot send requests", req.id))
 		return req, false
 	}
 	req.team.Name = key.Name
@@ -153,7 +153,7 @@
 	return req, true
 }
 
-// readLimits reads deadline, priority and key of a request.
+// readLimits reads the deadline, the priority and the idempotency key of a request.
 func (e *Entry) readLimits(r *http.Request, req *callerRequest) (problem.Problem, bool) {
 	timeout := e.cfg.Deadline
 	if text := r.Header.Get(HeaderTimeout); text != "" {
@@ -171,8 +171,8 @@
 		}
 		req.priority = n
 	}
-	if len(r.Header.Get(HeaderOnceKey)) > maxOnceKey {
-		return notRun(http.StatusBadRequest, "bad-once-key", HeaderOnceKey+" is too long", req.id), false
+	if len(r.Header.Get(HeaderIdempotencyKey)) > maxIdempotencyKey {
+		return notRun(http.StatusBadRequest, "bad-once-key", HeaderIdempotencyKey+" is too long", req.id), false
 	}
 	return problem.Problem{}, true
 }
--- a/entry/config.go
+++ b/entry/config.go
@@ -36,12 +36,12 @@
 	Pick(candidates []route.Candidate) (picked route.Candidate, ok bool)
 }
 
-// KeyRing tells who sends a key.
+// KeyRing looks up keys by their secrets.
 type KeyRing interface {
 	Find(secret string) (key keys.Key, ok bool)
 }
 
-// Config is what an entry is built from; a zero field takes its default where there is one.
+// Config holds the settings and dependencies of an entry; a zero field takes its default if there is one.
 type Config struct {
 	ID          string
 	Fleet       string
@@ -51,7 +51,7 @@
 
 	// Queue is how many requests of a service may wait.
 	Queue int
-	// Deadline is how long a request may take when it names no deadline.
+	// Deadline is how long a request may take if it sets no timeout.
 	Deadline time.Duration
 	// BodyLimit is the longest request body in bytes.
 	BodyLimit int64
@@ -65,7 +65,7 @@
 	Keys         KeyRing
 	LinkClient   *http.Client
 	Checks       *invariant.Recorder
-	// Picker chooses boxes; nil means the less loaded of two drawn at random.
+	// Picker chooses boxes; nil means the less loaded of two random ones.
 	Picker Picker
 }
 
@@ -91,7 +91,7 @@
 	return c
 }
 
-// serviceOf returns a service of the configuration that the fleet has.
+// serviceOf returns a service of a kind by its name.
 func serviceOf(cfg fleet.Config, name string, kind fleet.Kind) (fleet.Service, bool) {
 	service, ok := cfg.Services[name]
 	return service, ok && service.Kind == kind
--- a/entry/deliver.go
+++ b/entry/deliver.go
@@ -12,62 +12,62 @@
 	"github.com/coralstair/coralstair/upstream"
 )
 
-// bufferLimit is the longest answer that is held until it is whole; a longer one is sent as it comes.
-const bufferLimit = 1 << 20
+// maxBuffered is the longest response, in bytes, that is buffered until it is complete; a longer one is streamed.
+const maxBuffered = 1 << 20
 
 var errEnd = io.EOF
 
-// startedError says that an answer broke off after its beginning had been sent. With Abort the caller has still to
-// be told, by breaking the connection.
-type startedError struct {
+// interruptedError reports that a response was interrupted after its start had been sent. Abort asks to signal that to the caller by
+// closing the connection.
+type interruptedError struct {
 	Abort bool
 	Err   error
 }
 
 // Error gives the cause.
-func (e *startedError) Error() string { return fmt.Sprintf("answer broken off: %v", e.Err) }
+func (e *interruptedError) Error() string { return fmt.Sprintf("response interrupted: %v", e.Err) }
 
 // Unwrap returns the cause.
-func (e *startedError) Unwrap() error { return e.Err }
+func (e *interruptedError) Unwrap() error { return e.Err }
 
-// deliver has the request run and sends its answer; record, when set, takes a copy of it.
-func (e *Entry) deliver(ctx context.Context, w http.ResponseWriter, t *turn, record *claim.Answer) error {
+// deliver sends the request to a box and the response to the caller; record, if set, receives a copy.
+func (e *Entry) deliver(ctx context.Context, w http.ResponseWriter, t *task, record *claim.Answer) error {
 	for {
-		a, err := t.begin(ctx)
+		a, err := t.start(ctx)
 		if err != nil {
 			return err
 		}
 		if isStream(a) {
-			return e.stream(t.whole, w, t, a, record)
+			return e.stream(t.callerCtx, w, t, a, record)
 		}
-		body, whole, err := gather(ctx, a)
+		body, complete, err := readWhole(ctx, a)
 		if err != nil {
-			t.failed(ctx, err)
-			if t.req.repeatable && ctx.Err() == nil && !t.held() && e.budget.Spend() && t.next(ctx) {
+			t.recordFailure(ctx, err)
+			if t.req.repeatable && ctx.Err() == nil && !t.quarantined() && e.budget.Spend() && t.nextBox(ctx) {
 				continue
 			}
 			return err
 		}
-		if !whole {
-			return e.stream(t.whole, w, t, a.withFirst(body), record)
+		if !complete {
+			return e.stream(t.callerCtx, w, t, a.withFirst(body), record)
 		}
 		e.checkVersion(a)
-		a.record(record, body)
+		a.recordTo(record, body)
 		writeHead(w, a, t.req.id)
 		if _, err := w.Write(body); err != nil {
-			return &startedError{Err: err}
+			return &interruptedError{Err: err}
 		}
 		return nil
 	}
 }
 
-// gather reads an answer until it is whole or too long to be held.
-func gather(ctx context.Context, a *attempt) (body []byte, whole bool, err error) {
+// readWhole reads a response until it is complete or exceeds maxBuffered.
+func readWhole(ctx context.Context, a *attempt) (body []byte, complete bool, err error) {
 	body = a.first
 	if a.err != nil {
 		return body, true, nil
 	}
-	for len(body) < bufferLimit {
+	for len(body) < maxBuffered {
 		part, err := a.call.Next(ctx)
 		if errors.Is(err, errEnd) {
 			return body, true, nil
@@ -80,7 +80,7 @@
 	return body, false, nil
 }
 
-// checkVersion asserts that a whole answer came from one version, from start to end.
+// checkVersion asserts that a complete response came from a single version.
 func (e *Entry) checkVersion(a *attempt) {
 	e.cfg.Checks.Check(a.call.Digest() == a.call.Head().Digest, invariant.OneVersion,
 		"answer of box %s began with %s and ended with %s", a.box, a.call.Head().Digest, a.call.Digest())
@@ -104,21 +104,21 @@
 	w.WriteHeader(head.Status)
 }
 
-// record copies a whole answer for later arrivals of the same request.
-func (a *attempt) record(answer *claim.Answer, body []byte) {
-	if answer == nil {
+// recordTo copies a complete response to be replayed for retries of the request.
+func (a *attempt) recordTo(response *claim.Answer, body []byte) {
+	if response == nil {
 		return
 	}
 	head := a.call.Head()
-	answer.Status, answer.Header = head.Status, head.Header
-	answer.Box, answer.Version = a.box, head.Version
-	answer.Cut = len(body) > claim.MaxAnswer
-	if !answer.Cut {
-		answer.Body = body
+	response.Status, response.Header = head.Status, head.Header
+	response.Box, response.Version = a.box, head.Version
+	response.Cut = len(body) > claim.MaxAnswer
+	if !response.Cut {
+		response.Body = body
 	}
 }
 
-// withFirst returns the attempt with what has been read so far as its first part.
+// withFirst returns the attempt with the bytes read so far as its first part.
 func (a *attempt) withFirst(body []byte) *attempt {
 	next := *a
 	next.first = body
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry is the daemon of a thin entry box: it admits, routes, retries
-// and relays callers' requests, takes operators' statements and hands the
-// configuration on to the boxes.
+// Package entry is the daemon of an entry: it admits, routes, retries and relays
+// callers' requests, executes operators' statements and sends the configuration to
+// the boxes.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -26,14 +26,14 @@
 const (
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// maxHeader is the longest header, in bytes, that is taken; up to maxRawHeader it is refused with a problem, beyond
-	// that by the HTTP server itself.
-	maxHeader    = 64 << 10
-	maxRawHeader = 512 << 10
-	kickEvery    = 50 * time.Millisecond
+	// maxHeaderBytes is the longest accepted header; up to maxRawHeaderBytes it is refused with a problem, beyond that by the HTTP
+	// server itself.
+	maxHeaderBytes    = 64 << 10
+	maxRawHeaderBytes = 512 << 10
+	dispatchInterval  = 50 * time.Millisecond
 )
 
-// Entry is the daemon of a thin entry box.
+// Entry is the daemon of an entry.
 type Entry struct {
 	cfg        Config
 	log        *log.Entry
@@ -52,7 +52,7 @@
 	controllers map[string]*admit.Controller
 }
 
-// New returns an entry that has started nothing yet.
+// New returns an entry; Serve starts it.
 func New(cfg Config) *Entry {
 	cfg = cfg.withDefaults()
 	e := &Entry{
@@ -65,11 +65,11 @@
 		quarantine:  quarantine.New(quarantine.Options{Entry: cfg.ID}),
 	}
 	e.boxes = newBoxes(e)
-	e.executor = &operate.Executor{Fleet: cfg.Fleet, Ledger: cfg.Ledger, View: e, Accept: e.accept}
+	e.executor = &operate.Executor{Fleet: cfg.Fleet, Ledger: cfg.Ledger, View: e, Accept: e.applyConfig}
 	return e
 }
 
-// Boxes returns what the boxes of the fleet last said of themselves.
+// Boxes returns the latest reports of the fleet's boxes.
 func (e *Entry) Boxes() []operate.BoxReport { return e.boxes.Report() }
 
 // Handler returns the handler of the entry's port.
@@ -86,7 +86,7 @@
 	return e.limitHeader(mux)
 }
 
-// Leave takes no new requests and waits until those in progress are done.
+// Leave refuses new requests and waits until those in progress are done, for the drain limit at most.
 func (e *Entry) Leave(ctx context.Context) {
 	e.leaving.Store(true)
 	done := make(chan struct{})
@@ -106,7 +106,7 @@
 // Serve runs the entry until ctx ends, without draining; Leave comes first in a planned stop.
 func (e *Entry) Serve(ctx context.Context) error {
 	server := &http.Server{
-		Handler: e.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRawHeader,
+		Handler: e.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxRawHeaderBytes,
 		Protocols: new(http.Protocols),
 	}
 	server.Protocols.SetHTTP1(true)
@@ -118,19 +118,19 @@
 			{Name: "membership", Run: e.members.Serve},
 			{Name: "boxes", Run: e.boxes.Serve},
 			{Name: "queues", Run: e.serveQueues},
-			{Name: "spread", Run: e.serveSpread},
+			{Name: "spread", Run: e.serveBroadcast},
 			{Name: "quarantine", Run: e.quarantine.ServeWrites},
 		},
 	}
 	return daemon.Run(ctx)
 }
 
-// accept puts a configuration in force that this entry had accepted.
-func (e *Entry) accept(cfg fleet.Config) {
+// applyConfig applies a configuration that this entry has written to the ledger.
+func (e *Entry) applyConfig(cfg fleet.Config) {
 	e.follower.Offer(cfg)
 }
 
-// controller returns the controller of a service.
+// controller returns the admission controller of a service and creates it if needed.
 func (e *Entry) controller(service string) *admit.Controller {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,8 +142,8 @@
 	return c
 }
 
-// hear notes a box's revision and hands on the configuration when the box's is older.
-func (e *Entry) hear(conn *link.Conn, revision fleet.Revision) {
+// syncRevision records a box's revision and sends it the configuration if its revision is older.
+func (e *Entry) syncRevision(conn *link.Conn, revision fleet.Revision) {
 	if _, older := e.follower.Heard(revision); older {
 		_ = conn.Send(conn.Context(), &link.Config{Config: e.follower.Config()})
 	}
@@ -156,8 +156,8 @@
 	}
 }
 
-// kick gives turns to a service's waiting requests.
-func (e *Entry) kick(service string) {
+// dispatch admits waiting requests of a service.
+func (e *Entry) dispatch(service string) {
 	e.mu.Lock()
 	c := e.controllers[service]
 	e.mu.Unlock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// shed refuses waiting requests of a service that would miss their deadlines.
+// shed refuses the waiting requests of a service that would miss their deadlines.
 func (e *Entry) shed(service string) {
 	e.mu.Lock()
 	c := e.controllers[service]
@@ -185,7 +185,7 @@
 				size += len(name) + len(value)
 			}
 		}
-		if size > maxHeader {
+		if size > maxHeaderBytes {
 			p := problem.New(http.StatusRequestHeaderFieldsTooLarge, "header", "the header is too long").WithOutcome("not-run")
 			e.refuse(w, p)
 			return
@@ -194,9 +194,9 @@
 	})
 }
 
-// serveQueues looks after the waiting requests when nothing else gives them a turn.
+// serveQueues dispatches and sheds waiting requests periodically, in case no event does.
 func (e *Entry) serveQueues(ctx context.Context) error {
-	ticker := time.NewTicker(kickEvery)
+	ticker := time.NewTicker(dispatchInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -205,14 +205,14 @@
 		case <-ticker.C:
 		}
 		for _, name := range e.follower.Config().ServiceNames() {
-			e.kick(name)
+			e.dispatch(name)
 			e.shed(name)
 		}
 	}
 }
 
-// serveSpread hands each newer configuration to all boxes as soon as it is known.
-func (e *Entry) serveSpread(ctx context.Context) error {
+// serveBroadcast sends each newer configuration to all boxes as soon as it is known.
+func (e *Entry) serveBroadcast(ctx context.Context) error {
 	for {
 		changed := e.follower.Changed()
 		cfg := e.follower.Config()
--- a/entry/http.go
+++ b/entry/http.go
@@ -10,13 +10,11 @@
 	"github.com/coralstair/coralstair/problem"
 )
 
-// modelList is the answer to a question for the models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
 }
 
-// modelItem is one model service.
 type modelItem struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -34,7 +32,7 @@
 }
 
 func (e *Entry) serveModels(w http.ResponseWriter, r *http.Request) {
-	if _, ok := e.identify(w, r); !ok {
+	if _, ok := e.authenticate(w, r); !ok {
 		return
 	}
 	cfg := e.follower.Config()
@@ -48,7 +46,7 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// serveReady says whether the balancer should send requests here.
+// serveReady reports to the load balancer whether the entry takes requests.
 func (e *Entry) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if e.leaving.Load() || e.follower.Config().Revision == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -56,5 +54,5 @@
 }
 
 func (e *Entry) serveUnknown(w http.ResponseWriter, r *http.Request) {
-	e.refuse(w, problem.New(http.StatusNotFound, "no-path", "there is nothing at "+r.URL.Path).WithOutcome("not-run"))
+	e.refuse(w, problem.New(http.StatusNotFound, "no-path", "no such path: "+r.URL.Path).WithOutcome("not-run"))
 }
--- a/entry/idempotency.go
+++ b/entry/idempotency.go
@@ -15,35 +15,35 @@
 	"github.com/coralstair/coralstair/relay"
 )
 
-// settleTimeout bounds how long an answer waits until its claim is settled.
+// settleTimeout bounds how long a response waits for its claim to be settled.
 const settleTimeout = 2 * time.Second
 
-// runOnce runs a request that must not be repeated: it is claimed first, and settled once it is known what became of it.
-func (e *Entry) runOnce(ctx context.Context, w http.ResponseWriter, t *turn) {
+// runOnce runs a request at most once: it is claimed first, and the claim is settled with the outcome.
+func (e *Entry) runOnce(ctx context.Context, w http.ResponseWriter, t *task) {
 	c := claim.Claim{
 		Claimant: uuid.NewString(), BodyHash: t.req.hash(), Deadline: t.req.deadline.UTC(),
 	}
-	key := t.req.service.Name + "/" + t.req.onceKey
+	key := t.req.service.Name + "/" + t.req.idempotencyKey
 	if err := e.claims.Take(ctx, t.req.team.Name, key, c); err != nil {
-		e.answerHeld(w, t.req, err)
+		e.answerClaimed(w, t.req, err)
 		return
 	}
-	var answer claim.Answer
-	recorder := &heldWriter{w: w}
-	err := t.final(e.deliver(ctx, recorder, t, &answer))
-	e.settle(t, key, c, answer, err)
+	var response claim.Answer
+	recorder := &bufferedWriter{w: w}
+	err := t.finalError(e.deliver(ctx, recorder, t, &response))
+	e.settle(t, key, c, response, err)
 	recorder.flush()
 	e.finish(w, t, err)
 }
 
-// settle records what became of a claimed request.
-func (e *Entry) settle(t *turn, key string, c claim.Claim, answer claim.Answer, err error) {
+// settle records the outcome of a claimed request.
+func (e *Entry) settle(t *task, key string, c claim.Claim, response claim.Answer, err error) {
 	status := claim.StatusUnknown
 	var notRunErr *relay.NotRunError
 	switch {
 	case err == nil:
 		status = claim.StatusDone
-		c.Answer = &answer
+		c.Answer = &response
 	case errors.As(err, &notRunErr):
 		status = claim.StatusNotRun
 	}
@@ -54,79 +54,79 @@
 	}
 }
 
-// answerHeld answers a request that could not be claimed.
-func (e *Entry) answerHeld(w http.ResponseWriter, req callerRequest, err error) {
-	var held *claim.HeldError
+// answerClaimed responds to a request that could not be claimed.
+func (e *Entry) answerClaimed(w http.ResponseWriter, req callerRequest, err error) {
+	var claimed *claim.HeldError
 	var mismatch *claim.MismatchError
 	switch {
 	case errors.As(err, &mismatch):
 		e.refuse(w, notRun(http.StatusUnprocessableEntity, "once-key-reused", err.Error(), req.id))
-	case !errors.As(err, &held):
-		e.refuse(w, notRun(http.StatusServiceUnavailable, "platform-out", err.Error(), req.id).WithRetryAfter(outageRetry))
-	case held.Status == claim.StatusDone && held.Claim.Answer != nil && !held.Claim.Answer.Cut:
-		replay(w, *held.Claim.Answer)
-	case held.Status == claim.StatusDone:
-		e.refuse(w, problem.New(http.StatusConflict, "ran-before", "the request ran; its answer was too long to be kept").
+	case !errors.As(err, &claimed):
+		e.refuse(w, notRun(http.StatusServiceUnavailable, "platform-out", err.Error(), req.id).WithRetryAfter(outageRetryAfter))
+	case claimed.Status == claim.StatusDone && claimed.Claim.Answer != nil && !claimed.Claim.Answer.Cut:
+		replay(w, *claimed.Claim.Answer)
+	case claimed.Status == claim.StatusDone:
+		e.refuse(w, problem.New(http.StatusConflict, "ran-before", "the request ran; its response was too long to store").
 			WithOutcome("ran").WithRequestID(req.id))
-	case held.Status == claim.StatusClaimed:
-		e.refuse(w, problem.New(http.StatusConflict, "in-progress", "the first arrival of the request is in progress").
+	case claimed.Status == claim.StatusClaimed:
+		e.refuse(w, problem.New(http.StatusConflict, "in-progress", "the first request with this key is still in progress").
 			WithOutcome("unknown").WithRequestID(req.id).WithRetryAfter(time.Second))
 	default:
-		e.refuse(w, problem.New(http.StatusConflict, "unknown-outcome", "whether the request ran is not known; it is not run again").
+		e.refuse(w, problem.New(http.StatusConflict, "unknown-outcome", "it is unknown whether the request ran; it is not run again").
 			WithOutcome("unknown").WithRequestID(req.id))
 	}
 }
 
-// replay sends the first answer again.
-func replay(w http.ResponseWriter, answer claim.Answer) {
-	for name, values := range answer.Header {
+// replay sends the stored response.
+func replay(w http.ResponseWriter, response claim.Answer) {
+	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
 	w.Header().Set(HeaderOutcome, "ran")
 	w.Header().Set(HeaderReplayed, "yes")
-	w.Header().Set(HeaderBox, answer.Box)
-	if answer.Version != "" {
-		w.Header().Set(HeaderVersion, answer.Version)
+	w.Header().Set(HeaderBox, response.Box)
+	if response.Version != "" {
+		w.Header().Set(HeaderVersion, response.Version)
 	}
-	w.WriteHeader(answer.Status)
-	_, _ = w.Write(answer.Body)
+	w.WriteHeader(response.Status)
+	_, _ = w.Write(response.Body)
 }
 
-// hash tells whether two arrivals are the same request.
+// hash identifies the content of the request.
 func (r callerRequest) hash() string {
 	sum := sha256.New()
 	for _, part := range []string{r.method, r.path, string(r.body)} {
-		size := sha256.Sum256([]byte(part))
-		sum.Write(size[:])
+		digest := sha256.Sum256([]byte(part))
+		sum.Write(digest[:])
 	}
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// heldWriter holds a short answer back until its claim is settled, so that whoever has the answer finds it again.
-// Once the answer is flushed as a stream it is no longer held.
-type heldWriter struct {
+// bufferedWriter buffers a short response until its claim is settled, so that a caller that has the response can get it again.
+// A response that is flushed as a stream is no longer buffered.
+type bufferedWriter struct {
 	w      http.ResponseWriter
 	status int
 	body   []byte
 	sent   bool
 }
 
-// Flush sends what is held and all that follows at once.
-func (h *heldWriter) Flush() {
+// Flush sends the buffer and turns buffering off.
+func (h *bufferedWriter) Flush() {
 	h.flush()
 	if f, ok := h.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
-// Header returns the answer's headers.
-func (h *heldWriter) Header() http.Header { return h.w.Header() }
+// Header returns the response's header.
+func (h *bufferedWriter) Header() http.Header { return h.w.Header() }
 
-// Unwrap returns the writer beneath.
-func (h *heldWriter) Unwrap() http.ResponseWriter { return h.w }
+// Unwrap returns the underlying writer.
+func (h *bufferedWriter) Unwrap() http.ResponseWriter { return h.w }
 
-// Write holds or sends a part of the body.
-func (h *heldWriter) Write(body []byte) (int, error) {
+// Write buffers or sends a part of the body.
+func (h *bufferedWriter) Write(body []byte) (int, error) {
 	if h.sent {
 		return h.w.Write(body)
 	}
@@ -134,10 +134,10 @@
 	return len(body), nil
 }
 
-// WriteHeader holds the status.
-func (h *heldWriter) WriteHeader(status int) { h.status = status }
+// WriteHeader buffers the status.
+func (h *bufferedWriter) WriteHeader(status int) { h.status = status }
 
-func (h *heldWriter) flush() {
+func (h *bufferedWriter) flush() {
 	if h.sent || h.status == 0 {
 		return
 	}
--- a/entry/main_test.go
+++ b/entry/main_test.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 )
 
-// TestMain silences the entry's log.
+// TestMain silences the log.
 func TestMain(m *testing.M) {
 	log.SetLevel(log.FatalLevel)
 	os.Exit(m.Run())
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -20,30 +20,30 @@
 )
 
 const (
-	statementLimit = 64 << 10
-	outageRetry    = 5 * time.Second
-	maxOperation   = 36
+	maxStatementBytes = 64 << 10
+	outageRetryAfter  = 5 * time.Second
+	maxOperationID    = 36
 )
 
-// StatementRequest is the body of a statement sent to an entry.
+// StatementRequest is the JSON body of a statement request.
 type StatementRequest struct {
 	Statement  string         `json:"statement"`
 	Operation  string         `json:"operation,omitempty"`
 	IfRevision fleet.Revision `json:"if_revision,omitempty"`
 }
 
-// serveStatement carries out one operator's statement.
+// serveStatement executes an operator's statement.
 func (e *Entry) serveStatement(w http.ResponseWriter, r *http.Request) {
-	key, ok := e.identify(w, r)
+	key, ok := e.authenticate(w, r)
 	if !ok {
 		return
 	}
 	var req StatementRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, statementLimit)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxStatementBytes)).Decode(&req); err != nil {
 		e.refuse(w, problem.New(http.StatusBadRequest, "bad-body", "the body is not a statement in JSON: "+err.Error()))
 		return
 	}
-	if p, ok := mayState(key, req); !ok {
+	if p, ok := authorize(key, req); !ok {
 		e.refuse(w, p)
 		return
 	}
@@ -62,12 +62,12 @@
 	_ = json.NewEncoder(w).Encode(result)
 }
 
-// identify finds the key that a request carries; without a known one it answers the request.
-func (e *Entry) identify(w http.ResponseWriter, r *http.Request) (keys.Key, bool) {
+// authenticate returns the key of a request; it refuses a request without a known key.
+func (e *Entry) authenticate(w http.ResponseWriter, r *http.Request) (keys.Key, bool) {
 	secret, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || secret == "" {
 		w.Header().Set("WWW-Authenticate", "Bearer")
-		e.refuse(w, problem.New(http.StatusUnauthorized, "no-key", "the request carries no key").WithOutcome("not-run"))
+		e.refuse(w, problem.New(http.StatusUnauthorized, "no-key", "the request has no key").WithOutcome("not-run"))
 		return keys.Key{}, false
 	}
 	key, ok := e.cfg.Keys.Find(secret)
@@ -77,31 +77,31 @@
 	return key, ok
 }
 
-// refuse answers with a problem and counts it.
+// refuse responds with a problem and counts it.
 func (e *Entry) refuse(w http.ResponseWriter, p problem.Problem) {
 	metrics.GetOrCreateCounter(`coralstair_problems_total{type="` + p.Type + `"}`).Inc()
 	p.Write(w)
 }
 
-// mayState checks that the key's role allows the statement.
-func mayState(key keys.Key, req StatementRequest) (problem.Problem, bool) {
-	if len(req.Operation) > maxOperation {
+// authorize checks that the key's role allows the statement.
+func authorize(key keys.Key, req StatementRequest) (problem.Problem, bool) {
+	if len(req.Operation) > maxOperationID {
 		return problem.New(http.StatusBadRequest, "bad-operation", "an operation's id has at most 36 characters"), false
 	}
 	if key.Role == keys.RoleTeam {
-		return problem.New(http.StatusForbidden, "role", "a team's key makes no statements"), false
+		return problem.New(http.StatusForbidden, "role", "a team key cannot execute statements"), false
 	}
 	if key.Role == keys.RoleOperate {
 		return problem.Problem{}, true
 	}
 	stmt, err := statement.Parse(req.Statement)
 	if err == nil && stmt.Show == nil && !stmt.Explain {
-		return problem.New(http.StatusForbidden, "role", "a key with role read makes no decisions"), false
+		return problem.New(http.StatusForbidden, "role", "a key with role read can only show and explain"), false
 	}
 	return problem.Problem{}, true
 }
 
-// statementProblem tells an operator why a statement was not carried out.
+// statementProblem returns the problem for a failed statement.
 func statementProblem(err error) problem.Problem {
 	var (
 		syntax   *statement.SyntaxError
@@ -119,9 +119,9 @@
 	case errors.As(err, &conflict):
 		return problem.New(http.StatusConflict, "conflict", err.Error()).WithOutcome("not-run")
 	case errors.As(err, &unknown):
-		return problem.New(http.StatusGatewayTimeout, "unknown-outcome", err.Error()).WithOutcome("unknown").WithRetryAfter(outageRetry)
+		return problem.New(http.StatusGatewayTimeout, "unknown-outcome", err.Error()).WithOutcome("unknown").WithRetryAfter(outageRetryAfter)
 	case errors.As(err, &refused):
-		return problem.New(http.StatusServiceUnavailable, "platform-out", err.Error()).WithOutcome("not-run").WithRetryAfter(outageRetry)
+		return problem.New(http.StatusServiceUnavailable, "platform-out", err.Error()).WithOutcome("not-run").WithRetryAfter(outageRetryAfter)
 	case errors.As(err, &missing):
 		return problem.New(http.StatusNotFound, "unknown-name", err.Error()).WithOutcome("not-run")
 	case errors.As(err, &rejected), errors.As(err, &column), errors.As(err, &digest):
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -9,27 +9,26 @@
 	"github.com/coralstair/coralstair/relay"
 )
 
-// A request under which upstreams end is handed to no more boxes: it would be tried at up to maxTurns of them each time it comes.
-// Entries do not tell one another here, so that three upstreams end for each entry that it comes to.
+// A request that makes upstreams exit is quarantined, or each of its retries could bring down up to maxAttempts of them. This entry
+// does not share its records, so every entry that receives the request loses three upstreams.
 
-// heldError says that upstreams have ended under a request.
-type heldError struct{}
+// quarantinedError reports that a request is quarantined.
+type quarantinedError struct{}
 
-// Error says so.
-func (*heldError) Error() string {
-	return "upstreams have ended under this request; it is handed to no more"
+// Error returns the message.
+func (*quarantinedError) Error() string {
+	return "the request is quarantined: upstreams have exited while running it"
 }
 
-// fingerprint tells the request when it comes again.
+// fingerprint identifies retries of the request.
 func (req *callerRequest) fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(req.team.Name, req.method, req.service.Name, req.path, req.body)
 }
 
-// held reports whether the request goes to no more boxes.
-func (t *turn) held() bool { return t.entry.quarantine.Held(t.req.fingerprint) }
+func (t *task) quarantined() bool { return t.entry.quarantine.Held(t.req.fingerprint) }
 
-// noteEnd notes that an upstream has ended under the request, if that is how it was lost.
-func (t *turn) noteEnd(err error) {
+// recordExit records an upstream's exit if that is why the request was lost.
+func (t *task) recordExit(err error) {
 	var lost *relay.LostError
 	if errors.As(err, &lost) && lost.Ended != "" {
 		t.entry.log.WithField("life", lost.Ended).WithField("request", t.req.id).Warn("entry: an upstream ended under a request")
@@ -37,13 +36,13 @@
 	}
 }
 
-// noteAnswered notes that the request was answered; while no upstream has ended there is nothing to explain.
-func (t *turn) noteAnswered() {
+// recordResponse records that the request got a response, if any exits are recorded.
+func (t *task) recordResponse() {
 	if q := t.entry.quarantine; !q.Empty() {
 		q.Answered(t.req.fingerprint())
 	}
 }
 
-func heldProblem(err *heldError, id string) problem.Problem {
+func quarantinedProblem(err *quarantinedError, id string) problem.Problem {
 	return notRun(http.StatusServiceUnavailable, "held", err.Error(), id).WithRetryAfter(quarantine.KeepTime)
 }
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -6,44 +6,39 @@
 	"time"
 )
 
-// What callers would see: while the only box of a service loads a new version, a request that crossed its closing waits until
-// its deadline though the box serves again after a moment, and with it all that wait at the entry; beside two boxes that
-// refuse at the same moment a request ends as "not run" within a millisecond. The order of events: a box that closes refuses
-// what is on its way; the entry notes it as tried and asks the others; once all were tried, the last stays noted for good, so
-// that with one box none is left, and with several the rounds go on without a pause until the turns are used up.
-
-// refusesFirst refuses so many requests, closed as the box of a new version is, and answers those after.
-func refusesFirst(refusals int, closed time.Duration) answering {
+// refuseFirst refuses the first requests and closes for a time after each, as a box does that loads a new version.
+func refuseFirst(refusals int, closed time.Duration) responder {
 	return func(b *fakeBox, n int, id uint64) {
 		if n > refusals {
-			good(b, n, id)
+			respondOK(b, n, id)
 			return
 		}
 		refuse(b, n, id)
-		b.tell(false, false)
-		time.AfterFunc(closed, func() { b.tell(true, false) })
+		b.sendHeartbeat(false, false)
+		time.AfterFunc(closed, func() { b.sendHeartbeat(true, false) })
 	}
 }
 
-// TestRefusalsLeaveTheRequest proves that a request which boxes did not run is run once one that serves takes it again.
-func TestRefusalsLeaveTheRequest(t *testing.T) {
+// TestRefusedRequestIsRetried guards against a request that waits until its deadline, or fails at once, after all boxes refused it and
+// reopened.
+func TestRefusedRequestIsRetried(t *testing.T) {
 	const closed = 20 * time.Millisecond
-	leaves := func(b *fakeBox, n int, id uint64) {
+	leave := func(b *fakeBox, n int, id uint64) {
 		refuse(b, n, id)
-		b.tell(true, true)
+		b.sendHeartbeat(true, true)
 	}
-	for name, answers := range map[string][]answering{
-		"the only box closes for a moment":           {refusesFirst(1, closed)},
-		"the only box closes again and again":        {refusesFirst(2*maxTurns, closed)},
-		"both boxes close at the same moment":        {refusesFirst(1, closed), refusesFirst(1, closed)},
-		"one box leaves while the other one closes":  {leaves, refusesFirst(1, closed)},
-		"one box takes it after the other's refusal": {refusesFirst(1, time.Hour), good},
+	for name, responders := range map[string][]responder{
+		"the only box closes for a moment":           {refuseFirst(1, closed)},
+		"the only box closes repeatedly":             {refuseFirst(2*maxAttempts, closed)},
+		"both boxes close at the same moment":        {refuseFirst(1, closed), refuseFirst(1, closed)},
+		"one box leaves while the other one closes":  {leave, refuseFirst(1, closed)},
+		"one box accepts it after the other refuses": {refuseFirst(1, time.Hour), respondOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newBoxWorld(t, answers...)
+			w := newTestEnv(t, responders...)
 			began := time.Now()
-			got := w.ask(3 * time.Second)
+			got := w.request(3 * time.Second)
 			if got.Code != http.StatusOK || got.Body.String() != "hello" {
 				t.Errorf("status %d, body %q after %s", got.Code, got.Body, time.Since(began))
 			}
@@ -51,17 +46,17 @@
 	}
 }
 
-// TestRefusalsAreNotAskedForAgain proves that a box which refused is left alone until it has told news.
-func TestRefusalsAreNotAskedForAgain(t *testing.T) {
+// TestRefusingBoxIsNotRetriedWithoutUpdate checks that a box that refused gets no requests until it sends an update.
+func TestRefusingBoxIsNotRetriedWithoutUpdate(t *testing.T) {
 	t.Parallel()
-	w := newBoxWorld(t, refuse, refuse)
-	got := w.ask(300 * time.Millisecond)
+	w := newTestEnv(t, refuse, refuse)
+	got := w.request(300 * time.Millisecond)
 	if got.Code != http.StatusServiceUnavailable {
 		t.Errorf("status %d, body %q", got.Code, got.Body)
 	}
 	for i, b := range w.boxes {
-		if n := b.asked(); n != 1 {
-			t.Errorf("box %d was asked %d times", i, n)
+		if n := b.requestCount(); n != 1 {
+			t.Errorf("box %d got %d requests, want 1", i, n)
 		}
 	}
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -18,71 +18,71 @@
 )
 
 const (
-	// maxTurns is how often a request may be handed to boxes that may have run it.
-	maxTurns = 8
-	// againPriority puts a request that had its turn already before all of its team that had none.
-	againPriority = 10
+	// maxAttempts bounds the attempts of a request that may have run it.
+	maxAttempts = 8
+	// retryPriority is added to the priority of a request that was admitted before, to put it ahead of its team's new ones.
+	retryPriority = 10
 )
 
-// attempt is a request at one box, with the answer's head.
+// attempt is one send of a request to a box, with the start of the response.
 type attempt struct {
 	box  string
 	call *relay.Call
-	// first is the first part of the body; err is io.EOF when that was all.
+	// first is the first part of the body; err is io.EOF if it is the only one.
 	first []byte
 	err   error
 }
 
-// turn is a request's hold on the room that it takes: its team's share, and a place at one box at a time.
-type turn struct {
+// task is an admitted request with what it holds: its team's share, and a slot at one box at a time.
+type task struct {
 	entry *Entry
-	// whole lasts as long as the caller waits; the request's deadline is for the beginning of a stream.
-	whole      context.Context
+	// callerCtx ends when the caller disconnects; the request's deadline applies only until a stream starts.
+	callerCtx  context.Context
 	req        callerRequest
 	controller *admit.Controller
-	// tried are the boxes that the request was handed to in vain, and when.
+	// tried holds the boxes that the request was sent to without success, and when that failed.
 	tried    map[string]time.Time
 	admitted bool
 	box      string
-	// mayHaveRun says that an attempt was lost: from then on the request can no longer be said not to have run.
+	// mayHaveRun says that an attempt was lost, so that the outcome can no longer be "not-run".
 	mayHaveRun bool
-	// pin, when set, is the digest of the version that the answer must come from.
-	pin string
+	// pinnedDigest, if set, is the digest of the version that must respond.
+	pinnedDigest string
 }
 
-// run admits a request and sees it through to its final answer.
-func (e *Entry) run(whole context.Context, w http.ResponseWriter, req callerRequest) {
-	ctx, cancel := context.WithDeadline(whole, req.deadline)
+// run admits a request, delivers the response and finishes the request.
+func (e *Entry) run(callerCtx context.Context, w http.ResponseWriter, req callerRequest) {
+	ctx, cancel := context.WithDeadline(callerCtx, req.deadline)
 	defer cancel()
-	t := &turn{entry: e, whole: whole, req: req, controller: e.controller(req.service.Name), tried: make(map[string]time.Time)}
-	if t.held() {
-		e.finish(w, t, &heldError{})
+	t := &task{entry: e, callerCtx: callerCtx, req: req, controller: e.controller(req.service.Name), tried: make(map[string]time.Time)}
+	if t.quarantined() {
+		e.finish(w, t, &quarantinedError{})
 		return
 	}
 	if err := t.acquire(ctx); err != nil {
 		e.refuse(w, t.refusal(err))
 		return
 	}
-	defer t.end()
+	defer t.finish()
 	e.budget.Earn()
-	if req.onceKey != "" {
+	if req.idempotencyKey != "" {
 		e.runOnce(ctx, w, t)
 		return
 	}
-	e.finish(w, t, t.final(e.deliver(ctx, w, t, nil)))
+	e.finish(w, t, t.finalError(e.deliver(ctx, w, t, nil)))
 }
 
-// finish answers a request that got no answer so far.
-func (e *Entry) finish(w http.ResponseWriter, t *turn, err error) {
+// finish counts the outcome of a request, and responds with a problem if nothing has been sent yet.
+func (e *Entry) finish(w http.ResponseWriter, t *task, err error) {
 	if err == nil {
-		t.noteAnswered()
+		t.recordResponse()
 		metrics.GetOrCreateCounter(`coralstair_requests_total{outcome="ran"}`).Inc()
 		return
 	}
-	var started *startedError
-	if errors.As(err, &started) {
+	var interrupted *interruptedError
+	if errors.As(err, &interrupted) {
 		metrics.GetOrCreateCounter(`coralstair_requests_total{outcome="broken-off"}`).Inc()
-		if started.Abort {
+		if interrupted.Abort {
 			panic(http.ErrAbortHandler)
 		}
 		return
@@ -93,16 +93,16 @@
 	e.refuse(w, p)
 }
 
-// outcomeProblem tells a caller what became of a request without an answer.
+// outcomeProblem returns the problem for a request without a response.
 func outcomeProblem(err error, id string) problem.Problem {
 	var notRunErr *relay.NotRunError
 	var refused *admit.RefusedError
-	var held *heldError
+	var quarantined *quarantinedError
 	switch {
 	case errors.As(err, &refused):
 		return refusedProblem(refused, id)
-	case errors.As(err, &held):
-		return heldProblem(held, id)
+	case errors.As(err, &quarantined):
+		return quarantinedProblem(quarantined, id)
 	case errors.As(err, &notRunErr):
 		return notRun(http.StatusServiceUnavailable, "no-box", notRunErr.Reason, id).WithRetryAfter(time.Second)
 	default:
@@ -118,11 +118,11 @@
 	return notRun(status, slug, refused.Reason, id).WithRetryAfter(refused.RetryAfter)
 }
 
-// begin hands the request to boxes until one begins to answer. A box that certainly did not run it is followed by
-// another, and uses up nothing; when it may have run, only a repeatable request is tried again, within the retry budget.
-func (t *turn) begin(ctx context.Context) (*attempt, error) {
+// start sends the request to boxes until one starts to respond. An attempt that did not run the request costs nothing; after one that
+// may have run it, only a repeatable request is sent again, within the retry budget.
+func (t *task) start(ctx context.Context) (*attempt, error) {
 	for lost := 0; ; {
-		a, err := t.try(ctx)
+		a, err := t.send(ctx)
 		if err == nil {
 			return a, nil
 		}
@@ -132,18 +132,18 @@
 		var notRunErr *relay.NotRunError
 		if !errors.As(err, &notRunErr) {
 			lost++
-			if !t.req.repeatable || lost == maxTurns || t.held() || !t.entry.budget.Spend() {
+			if !t.req.repeatable || lost == maxAttempts || t.quarantined() || !t.entry.budget.Spend() {
 				return nil, err
 			}
 		}
-		if !t.next(ctx) {
+		if !t.nextBox(ctx) {
 			return nil, err
 		}
 	}
 }
 
-// try hands the request to the box that is held and waits for the first part of the answer.
-func (t *turn) try(ctx context.Context) (*attempt, error) {
+// send sends the request to the reserved box and waits for the first part of the response.
+func (t *task) send(ctx context.Context) (*attempt, error) {
 	if !t.entry.cfg.Checks.Check(t.req.repeatable || !t.mayHaveRun, invariant.AtMostOnce,
 		"request %s would be handed on after an attempt that may have run", t.req.id) {
 		return nil, &relay.LostError{Reason: "an earlier attempt may have run"}
@@ -158,103 +158,102 @@
 	tracing.Inject(ctx, header)
 	call, err := l.client.Do(ctx, link.Request{
 		Service: t.req.service.Name, Method: t.req.method, Path: t.req.path,
-		Digest: t.pin, Header: header, Body: t.req.body, Deadline: time.Until(t.req.deadline),
+		Digest: t.pinnedDigest, Header: header, Body: t.req.body, Deadline: time.Until(t.req.deadline),
 	}, t.req.repeatable)
 	if err != nil {
-		t.failed(ctx, err)
+		t.recordFailure(ctx, err)
 		return nil, err
 	}
 	first, err := call.Next(ctx)
 	if err != nil && !errors.Is(err, errEnd) {
-		t.failed(ctx, err)
+		t.recordFailure(ctx, err)
 		return nil, err
 	}
 	t.entry.health.Succeeded(t.box)
 	return &attempt{box: t.box, call: call, first: first, err: err}, nil
 }
 
-// failed notes a lost attempt, and counts it against the box unless the caller has gone. That a box had no room is no
-// failure.
-func (t *turn) failed(ctx context.Context, err error) {
+// recordFailure records a lost attempt, and counts it against the box unless the caller has disconnected. A request that did not run is
+// no failure.
+func (t *task) recordFailure(ctx context.Context, err error) {
 	var notRunErr *relay.NotRunError
 	if errors.As(err, &notRunErr) {
 		return
 	}
 	t.mayHaveRun = true
-	t.noteEnd(err)
+	t.recordExit(err)
 	if ctx.Err() == nil {
 		t.entry.health.Failed(t.box, time.Now())
 	}
 }
 
-// final returns what a request ended with: when an earlier attempt may have run, a later one that did not run does not
-// make it "not run".
-func (t *turn) final(err error) error {
+// finalError returns the error of a request: if an earlier attempt may have run it, a later "not run" or refusal becomes "lost".
+func (t *task) finalError(err error) error {
 	var notRunErr *relay.NotRunError
 	var refused *admit.RefusedError
 	if t.mayHaveRun && (errors.As(err, &notRunErr) || errors.As(err, &refused)) {
-		return &relay.LostError{Reason: "an earlier attempt may have run; the last: " + err.Error()}
+		return &relay.LostError{Reason: "an earlier attempt may have run; last error: " + err.Error()}
 	}
 	return err
 }
 
-// acquire waits for the request's turn.
-func (t *turn) acquire(ctx context.Context) error {
-	box, err := t.controller.Acquire(ctx, t.admission())
+// acquire waits for admission and a slot at a box.
+func (t *task) acquire(ctx context.Context) error {
+	box, err := t.controller.Acquire(ctx, t.admitRequest())
 	t.box = box
 	t.admitted = err == nil
 	return err
 }
 
-func (t *turn) admission() admit.Request {
+func (t *task) admitRequest() admit.Request {
 	priority := t.req.priority
 	if len(t.tried) > 0 {
-		priority += againPriority
+		priority += retryPriority
 	}
 	return admit.Request{
 		Team: t.req.team.Name, Weight: t.req.team.Weight, Priority: priority, Again: len(t.tried) > 0,
-		Deadline: t.req.deadline, Concurrency: t.req.team.Concurrency, Place: t.place,
+		Deadline: t.req.deadline, Concurrency: t.req.team.Concurrency, Place: t.reserveBox,
 	}
 }
 
-// end gives back all that the request holds.
-func (t *turn) end() {
+// finish releases all that the request holds.
+func (t *task) finish() {
 	t.release()
-	t.leave()
+	t.releaseShare()
 	t.controller.Kick()
 }
 
-// leave gives the team's share back.
-func (t *turn) leave() {
+// releaseShare releases the team's share.
+func (t *task) releaseShare() {
 	if t.admitted {
 		t.admitted = false
 		t.controller.Done(t.req.team.Name)
 	}
 }
 
-// next moves the request to another box; it waits its turn again when none has room that was not tried, or told news since.
-func (t *turn) next(ctx context.Context) bool {
+// nextBox moves the request to another box. If none is available that is untried or updated since, the request waits for admission again.
+func (t *task) nextBox(ctx context.Context) bool {
 	t.tried[t.box] = time.Now()
 	t.release()
-	if box, ok := t.controller.Again(t.admission()); ok {
+	if box, ok := t.controller.Again(t.admitRequest()); ok {
 		t.box = box
 		return true
 	}
-	t.leave()
+	t.releaseShare()
 	return t.acquire(ctx) == nil
 }
 
-func (t *turn) place() (string, bool) {
-	return t.entry.boxes.place(t.req.service, t.pin, t.tried)
+func (t *task) reserveBox() (string, bool) {
+	return t.entry.boxes.reserveBox(t.req.service, t.pinnedDigest, t.tried)
 }
 
-func (t *turn) release() {
+func (t *task) release() {
 	if t.box != "" {
 		t.entry.boxes.release(t.box)
 		t.box = ""
 	}
 }
 
-func (t *turn) refusal(err error) problem.Problem {
+func (t *task) refusal(err error) problem.Problem {
 	return outcomeProblem(err, t.req.id)
 }
--- a/entry/run_test.go
+++ b/entry/run_test.go
@@ -9,7 +9,7 @@
 	"github.com/coralstair/coralstair/relay"
 )
 
-// TestFinalOutcome: a request of which one attempt was lost is never said not to have run, whatever came after.
+// TestFinalOutcome checks that a request with a lost attempt is never reported as not run.
 func TestFinalOutcome(t *testing.T) {
 	notRunErr := &relay.NotRunError{Reason: "full"}
 	lost := &relay.LostError{Reason: "link ended"}
@@ -27,14 +27,14 @@
 		"not run, lost, not run":    {[]error{notRunErr, lost, notRunErr}, notRunErr, "unknown"},
 		"not run, then not run":     {[]error{notRunErr, notRunErr}, notRunErr, "not-run"},
 		"joined with its cause":     {[]error{lost}, errors.Join(lost, notRunErr), "unknown"},
-		"engine broke off, refused": {[]error{&relay.LostError{Reason: "broke off"}}, refused, "unknown"},
+		"interrupted, then refused": {[]error{&relay.LostError{Reason: "broke off"}}, refused, "unknown"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			turn := &turn{entry: new(Entry)}
+			request := &task{entry: new(Entry)}
 			for _, err := range tc.attempts {
-				turn.failed(context.Background(), err)
+				request.recordFailure(context.Background(), err)
 			}
-			if got := outcomeProblem(turn.final(tc.last), "id").Outcome; got != tc.want {
+			if got := outcomeProblem(request.finalError(tc.last), "id").Outcome; got != tc.want {
 				t.Errorf("outcome %s, want %s", got, tc.want)
 			}
 		})
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -19,65 +19,64 @@
 )
 
 const (
-	// writeTimeout is how long a caller may take to read a part of an answer.
+	// writeTimeout is how long a caller may take to read a part of a response.
 	writeTimeout = time.Minute
-	// resumeTimeout is how long a broken-off stream waits for another box.
+	// resumeTimeout is how long an interrupted stream waits for another box.
 	resumeTimeout = 3 * time.Second
-	// maxEvent is the longest event of a stream that is held until it is whole.
-	maxEvent = 1 << 20
+	// maxEventBytes is the longest event that is buffered until it is complete.
+	maxEventBytes = 1 << 20
 
-	eventEnd = "\n\n"
+	eventSeparator = "\n\n"
 )
 
-// streamer sends one answer as it comes.
+// streamer copies a response to the caller as it arrives.
 type streamer struct {
 	entry *Entry
 	w     http.ResponseWriter
-	turn  *turn
-	// from is the attempt that the answer comes from now.
-	from *attempt
-	// kept is a copy of the answer for its claim, as long as it is not too long; nil keeps none.
-	kept *bytes.Buffer
-	// held is the beginning of an event that is not whole yet, sent the events that the caller has.
-	held []byte
-	sent int
+	task  *task
+	// current is the attempt that the response comes from.
+	current *attempt
+	// recorded is a copy of the response for its claim, up to the longest that is stored; nil if there is no claim.
+	recorded *bytes.Buffer
+	// partial is the start of an incomplete event, eventsSent the number of events sent to the caller.
+	partial    []byte
+	eventsSent int
 }
 
-// stream sends an answer as it comes. One that breaks off goes on at another box of the same version if its engine
-// can; else it ends in an explicit error: an event in an event stream, a broken connection otherwise; never silently
-// short.
-func (e *Entry) stream(ctx context.Context, w http.ResponseWriter, t *turn, a *attempt, record *claim.Answer) error {
+// stream copies a response to the caller as it arrives. An interrupted event stream resumes at another box of the same version if its
+// engine can; otherwise it ends with an error event, and any other response by closing the connection. None is truncated silently.
+func (e *Entry) stream(ctx context.Context, w http.ResponseWriter, t *task, a *attempt, record *claim.Answer) error {
 	writeHead(w, a, t.req.id)
-	s := &streamer{entry: e, w: w, turn: t, from: a}
+	s := &streamer{entry: e, w: w, task: t, current: a}
 	if !s.resumable() {
 		a.call.Keep()
 	}
 	if record != nil {
-		s.kept = new(bytes.Buffer)
+		s.recorded = new(bytes.Buffer)
 	}
 	err := s.run(ctx)
-	var started *startedError
+	var interrupted *interruptedError
 	switch {
 	case errors.Is(err, errEnd):
-		e.checkVersion(s.from)
+		e.checkVersion(s.current)
 		if record != nil {
-			s.from.record(record, s.kept.Bytes())
+			s.current.recordTo(record, s.recorded.Bytes())
 		}
 		return nil
-	case errors.As(err, &started):
+	case errors.As(err, &interrupted):
 		return err
 	default:
-		return &startedError{Abort: !tellBroken(w, s.from, err, t.req.id), Err: err}
+		return &interruptedError{Abort: !writeErrorEvent(w, s.current, err, t.req.id), Err: err}
 	}
 }
 
-// run sends part after part; io.EOF says that the answer is whole.
+// run sends part after part and resumes after an interruption; io.EOF means that the response is complete.
 func (s *streamer) run(ctx context.Context) error {
-	part, err := s.from.first, s.from.err
+	part, err := s.current.first, s.current.err
 	for {
 		if writeErr := s.write(part, errors.Is(err, errEnd)); writeErr != nil {
-			s.from.call.Cancel()
-			return &startedError{Err: writeErr}
+			s.current.call.Cancel()
+			return &interruptedError{Err: writeErr}
 		}
 		if errors.Is(err, errEnd) {
 			return err
@@ -86,28 +85,28 @@
 			if err := s.resume(ctx, err); err != nil {
 				return err
 			}
-			part, err = s.from.first, s.from.err
+			part, err = s.current.first, s.current.err
 			continue
 		}
-		part, err = s.from.call.Next(ctx)
+		part, err = s.current.call.Next(ctx)
 	}
 }
 
-// write sends a part: of an event stream only whole events, so that it can go on from there elsewhere.
+// write sends a part, of an event stream only complete events, so that another box can resume after them.
 func (s *streamer) write(part []byte, last bool) error {
 	out := part
-	if isStream(s.from) {
-		s.held = append(s.held, part...)
-		whole := bytes.LastIndex(s.held, []byte(eventEnd)) + len(eventEnd)
-		if whole < len(eventEnd) {
-			whole = 0
+	if isStream(s.current) {
+		s.partial = append(s.partial, part...)
+		complete := bytes.LastIndex(s.partial, []byte(eventSeparator)) + len(eventSeparator)
+		if complete < len(eventSeparator) {
+			complete = 0
 		}
-		if last || len(s.held) > maxEvent {
-			whole = len(s.held)
+		if last || len(s.partial) > maxEventBytes {
+			complete = len(s.partial)
 		}
-		out = s.held[:whole:whole]
-		s.held = s.held[whole:]
-		s.sent += bytes.Count(out, []byte(eventEnd))
+		out = s.partial[:complete:complete]
+		s.partial = s.partial[complete:]
+		s.eventsSent += bytes.Count(out, []byte(eventSeparator))
 	}
 	if len(out) == 0 {
 		return nil
@@ -117,28 +116,28 @@
 	if _, err := s.w.Write(out); err != nil {
 		return err
 	}
-	if s.kept != nil && s.kept.Len() <= claim.MaxAnswer {
-		s.kept.Write(out)
+	if s.recorded != nil && s.recorded.Len() <= claim.MaxAnswer {
+		s.recorded.Write(out)
 	}
 	return control.Flush()
 }
 
-// resume goes on with a broken-off stream at another box that serves the same version; without one it returns why the
-// stream broke off.
+// resume resumes an interrupted stream at another box that serves the same version; without one it returns the cause of the
+// interruption.
 func (s *streamer) resume(ctx context.Context, cause error) error {
 	var lost *relay.LostError
-	t, digest := s.turn, s.from.call.Head().Digest
-	t.failed(ctx, cause)
-	if !errors.As(cause, &lost) || ctx.Err() != nil || !s.resumable() || t.held() || !s.entry.budget.Spend() {
+	t, digest := s.task, s.current.call.Head().Digest
+	t.recordFailure(ctx, cause)
+	if !errors.As(cause, &lost) || ctx.Err() != nil || !s.resumable() || t.quarantined() || !s.entry.budget.Spend() {
 		return cause
 	}
-	t.pin = digest
+	t.pinnedDigest = digest
 	t.req.deadline = time.Now().Add(resumeTimeout)
-	t.req.header.Set(HeaderResume, strconv.Itoa(s.sent))
-	if !t.next(ctx) {
+	t.req.header.Set(HeaderResume, strconv.Itoa(s.eventsSent))
+	if !t.nextBox(ctx) {
 		return cause
 	}
-	a, err := t.begin(ctx)
+	a, err := t.start(ctx)
 	if err != nil {
 		return errors.Join(cause, err)
 	}
@@ -146,17 +145,17 @@
 		return cause
 	}
 	metrics.GetOrCreateCounter(`coralstair_streams_resumed_total`).Inc()
-	s.from, s.held = a, nil
+	s.current, s.partial = a, nil
 	return nil
 }
 
-// resumable reports whether the answer could go on at another box of the same version.
+// resumable reports whether the response could resume at another box of the same version.
 func (s *streamer) resumable() bool {
-	return s.turn.req.repeatable && isStream(s.from) && s.from.call.Head().Digest != "" && s.entry.boxes.resumes(s.turn.box)
+	return s.task.req.repeatable && isStream(s.current) && s.current.call.Head().Digest != "" && s.entry.boxes.resumes(s.task.box)
 }
 
-// tellBroken tells the caller of an event stream that the rest will not come, and reports whether it could.
-func tellBroken(w http.ResponseWriter, a *attempt, err error, id string) bool {
+// writeErrorEvent ends an event stream with an error event, and reports whether it was written.
+func writeErrorEvent(w http.ResponseWriter, a *attempt, err error, id string) bool {
 	if !isStream(a) {
 		return false
 	}
