--- a/store/doc.go
+++ b/store/doc.go
@@ -1,4 +1,3 @@
-// Package store holds what the product asks of a platform's store, whichever
-// adapter meets it: rows under conditions, objects, and what their calls may
-// answer. It names no platform.
+// Package store holds the platform-independent types of a store: rows with
+// conditional writes, the errors of calls, and the store's epoch.
 package store
--- a/store/epoch.go
+++ b/store/epoch.go
@@ -8,22 +8,22 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Epoch counts how often a store has come back from a copy of itself, by its own count; 0 while it tells none. What one epoch says
-// of versions and places in the history holds in that epoch only: a store that goes back gives its versions out again.
+// Epoch counts the restores of a store from a backup, by the store's own count; 0 if the store reports none. Versions and positions in
+// the history are valid in one epoch only, since a restored store reuses them.
 type Epoch int64
 
 var epochGauge = metrics.NewGauge("coralstair_store_epoch", nil)
 
-// Epochs follows the epoch of a store by its answers; the zero value has seen none. It is safe for concurrent use.
+// Epochs tracks the epoch of a store by its responses; the zero value has seen none. It is safe for concurrent use.
 type Epochs struct {
-	mu     sync.Mutex
-	newest Epoch
-	known  bool
-	risen  chan struct{}
+	mu      sync.Mutex
+	newest  Epoch
+	known   bool
+	changed chan struct{}
 }
 
-// Observe takes the epoch that an answer tells; a StaleEpochError says that the answer is of an earlier one and tells nothing
-// that holds now. Epochs may be skipped.
+// Observe records the epoch of a response. It fails with a StaleEpochError if a later epoch is known, so that the response must be
+// dropped. Epochs may be skipped.
 func (e *Epochs) Observe(epoch Epoch) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,22 +35,22 @@
 	}
 	e.newest, e.known = epoch, true
 	epochGauge.Set(float64(epoch))
-	if e.risen != nil {
-		close(e.risen)
-		e.risen = nil
+	if e.changed != nil {
+		close(e.changed)
+		e.changed = nil
 	}
 	return nil
 }
 
-// Newest returns the newest epoch that an answer told.
+// Newest returns the newest epoch of any response.
 func (e *Epochs) Newest() Epoch {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.newest
 }
 
-// During returns a context that also ends when the store is found in another epoch than one: a call that waits for changes after
-// a place of the earlier one is never answered by them. Cancel frees it.
+// During returns a context that is also cancelled when the store's epoch changes: a call that waits for changes after a position of
+// an earlier epoch would never return them. The caller must call cancel.
 func (e *Epochs) During(ctx context.Context, epoch Epoch) (during context.Context, cancel context.CancelFunc) {
 	during, cancel = context.WithCancel(ctx)
 	e.mu.Lock()
@@ -59,13 +59,13 @@
 		cancel()
 		return during, cancel
 	}
-	if e.risen == nil {
-		e.risen = make(chan struct{})
+	if e.changed == nil {
+		e.changed = make(chan struct{})
 	}
-	risen := e.risen
+	changed := e.changed
 	go func() {
 		select {
-		case <-risen:
+		case <-changed:
 			cancel()
 		case <-during.Done():
 		}
@@ -73,10 +73,10 @@
 	return during, cancel
 }
 
-// StaleEpochError says that an answer is of an earlier epoch of the store than others that came.
+// StaleEpochError reports a response of an earlier epoch than the newest known one.
 type StaleEpochError struct{ Epoch, Newest Epoch }
 
 // Error names both epochs.
 func (e *StaleEpochError) Error() string {
-	return fmt.Sprintf("an answer of the store's epoch %d came after one of epoch %d", e.Epoch, e.Newest)
+	return fmt.Sprintf("stale response of the store's epoch %d after epoch %d", e.Epoch, e.Newest)
 }
--- a/store/errors.go
+++ b/store/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ConditionError says that a write had no effect because its condition did not hold.
+// ConditionError reports that a write had no effect because its condition did not hold.
 type ConditionError struct {
 	Call string
 	Err  error
@@ -16,7 +16,7 @@
 // Unwrap returns the service's error.
 func (e *ConditionError) Unwrap() error { return e.Err }
 
-// UnavailableError says that a call got no usable answer; a write may or may not have taken effect.
+// UnavailableError reports that a call got no usable response; a write may or may not have taken effect.
 type UnavailableError struct {
 	Service string
 	Call    string
@@ -31,7 +31,7 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// NotFoundError says that an object does not exist.
+// NotFoundError reports that an object does not exist.
 type NotFoundError struct{ Key string }
 
 // Error names the object.
--- a/store/row.go
+++ b/store/row.go
@@ -1,16 +1,16 @@
 package store
 
-// Key addresses a row.
+// Key is the key of a row.
 type Key struct{ Partition, Sort string }
 
-// Row is one row of the table: a number to put conditions on and a body.
+// Row is one row of the table: a number for conditional writes, and a body.
 type Row struct {
 	Key    Key
 	Number int64
 	Body   []byte
 }
 
-// Condition says when a write may take effect.
+// Condition is the condition of a write.
 type Condition int
 
 // The conditions of a write.
@@ -21,7 +21,7 @@
 	IfLower
 )
 
-// Put is one write of a row; IfNumber and IfLower compare the stored number with Number.
+// Put is one conditional write of a row; IfNumber and IfLower compare the stored number with Number.
 type Put struct {
 	Row       Row
 	Condition Condition
