--- a/entry/entry.go
+++ b/entry/entry.go
@@ -58,7 +58,7 @@
 	e := &Entry{
 		cfg:         cfg,
 		log:         log.WithFields(log.Fields{"entry": cfg.ID, "site": cfg.Site}),
-		follower:    follower.New(cfg.Ledger, cfg.Fleet, follower.Options{Relay: true, Checks: cfg.Checks}),
+		follower:    follower.New(cfg.Ledger, cfg.Fleet, follower.Options{AlwaysPoll: true, Checks: cfg.Checks}),
 		members:     membership.New(cfg.List, cfg.Fleet, cfg.ListInterval),
 		claims:      &claim.Claims{Table: cfg.Claims},
 		controllers: make(map[string]*admit.Controller),
--- a/follower/doc.go
+++ b/follower/doc.go
@@ -1,3 +1,3 @@
-// Package follower keeps the newest configuration of a fleet that a daemon has
-// seen: from its links while it hears of it there, else from the table.
+// Package follower keeps the newest known configuration of a fleet. A daemon gets
+// it from its peers, or polls the table while no peer reports a revision.
 package follower
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -12,7 +12,7 @@
 	"github.com/coralstair/coralstair/invariant"
 )
 
-// Ledger is the part of the ledger that a follower reads.
+// Ledger is the part of the ledger that a follower uses.
 type Ledger interface {
 	Head(ctx context.Context, fleetName string) (fleet.Revision, error)
 	Load(ctx context.Context, fleetName string) (fleet.Config, error)
@@ -20,39 +20,39 @@
 
 // Options are the settings of a follower; a zero field takes its default.
 type Options struct {
-	// Relay makes the follower read the table's head always, for others to learn from it.
-	Relay bool
+	// AlwaysPoll makes the follower poll the table even while peers report, so that others can learn from it.
+	AlwaysPoll bool
 	// Interval is how often the head is read.
 	Interval time.Duration
-	// Silence is how long a follower that is no relay waits for its links before it reads itself.
-	Silence time.Duration
-	Checks  *invariant.Recorder
+	// PeerTimeout is how long after the last report of a peer a follower polls the table.
+	PeerTimeout time.Duration
+	Checks      *invariant.Recorder
 }
 
 // Defaults of Options.
 const (
-	DefaultInterval = 500 * time.Millisecond
-	DefaultSilence  = 3 * time.Second
+	DefaultInterval    = 500 * time.Millisecond
+	DefaultPeerTimeout = 3 * time.Second
 )
 
-// Follower holds the newest configuration seen; it never takes a lower revision.
+// Follower holds the newest known configuration; it never applies a lower revision.
 type Follower struct {
 	ledger Ledger
 	opts   Options
 
-	mu      sync.Mutex
-	cfg     fleet.Config
-	heard   time.Time
-	changed chan struct{}
+	mu             sync.Mutex
+	cfg            fleet.Config
+	lastPeerReport time.Time
+	changed        chan struct{}
 }
 
-// New returns a follower of a fleet that has seen nothing yet.
+// New returns a follower of a fleet with no configuration yet.
 func New(ledger Ledger, fleetName string, opts Options) *Follower {
 	if opts.Interval == 0 {
 		opts.Interval = DefaultInterval
 	}
-	if opts.Silence == 0 {
-		opts.Silence = DefaultSilence
+	if opts.PeerTimeout == 0 {
+		opts.PeerTimeout = DefaultPeerTimeout
 	}
 	return &Follower{
 		ledger: ledger, opts: opts,
@@ -68,22 +68,22 @@
 	return f.changed
 }
 
-// Config returns the newest configuration; its revision is 0 while none has been seen.
+// Config returns the newest configuration; its revision is 0 if none is known.
 func (f *Follower) Config() fleet.Config {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cfg
 }
 
-// Heard notes that a peer told its revision, and reports whether the peer's is newer or older than ours.
+// Heard records that a peer reported its revision, and reports whether it is newer or older than the local one.
 func (f *Follower) Heard(revision fleet.Revision) (newer, older bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.heard = time.Now()
+	f.lastPeerReport = time.Now()
 	return revision > f.cfg.Revision, revision < f.cfg.Revision
 }
 
-// Offer takes a configuration when it is newer and reports whether it was.
+// Offer applies a configuration if it is newer and reports whether it was.
 func (f *Follower) Offer(cfg fleet.Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,11 +98,11 @@
 	return true
 }
 
-// Serve reads the table as needed until ctx ends.
+// Serve polls the table as needed until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	for {
-		if f.opts.Relay || f.silent() {
-			f.read(ctx)
+		if f.opts.AlwaysPoll || f.peersSilent() {
+			f.poll(ctx)
 		}
 		wait := f.opts.Interval/2 + rand.N(f.opts.Interval)
 		select {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (f *Follower) read(ctx context.Context) {
+func (f *Follower) poll(ctx context.Context) {
 	name := f.Config().Fleet
 	head, err := f.ledger.Head(ctx, name)
 	if err != nil {
@@ -133,8 +133,8 @@
 	}
 }
 
-func (f *Follower) silent() bool {
+func (f *Follower) peersSilent() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Since(f.heard) > f.opts.Silence
+	return time.Since(f.lastPeerReport) > f.opts.PeerTimeout
 }
