--- a/link/conn.go
+++ b/link/conn.go
@@ -13,33 +13,33 @@
 // MaxFrame is the largest frame a peer may send, in bytes.
 const MaxFrame = 8 << 20
 
-// Path is the path under which daemons take links.
+// Path is the URL path at which daemons accept links.
 const Path = "/link"
 
 const (
-	queueSize    = 64
-	bulkSize     = 1
-	writeTimeout = 60 * time.Second
-	// chunkFrom is the length from which a message that comes in is paced as a chunk.
-	chunkFrom = 4 << 10
+	queueSize     = 64
+	bulkQueueSize = 1
+	writeTimeout  = 60 * time.Second
+	// minChunkBytes is the length above which an incoming message is paced as a chunk.
+	minChunkBytes = 4 << 10
 )
 
-// Pacer lets pieces of chunks pass when live requests leave room for them.
+// Pacer limits the bandwidth of chunks in favour of live requests.
 type Pacer interface {
-	// Piece returns how many bytes may pass at a time.
+	// Piece returns the most bytes that may pass at a time.
 	Piece() int
-	// Wait waits until n bytes may pass.
+	// Wait blocks until n bytes may pass.
 	Wait(ctx context.Context, n int) error
 }
 
-// bulkMessage is an encoded chunk; written, when there is one, is closed once it was written.
+// bulkMessage is an encoded chunk; written, if set, is closed once it is written.
 type bulkMessage struct {
 	data    []byte
 	written chan struct{}
 }
 
 // Conn is one end of a link; Send may be called from several goroutines, Receive from one.
-// Chunks wait in a queue of their own, so that other messages overtake them.
+// Chunks have a queue of their own, so that other messages overtake them.
 type Conn struct {
 	ws     *websocket.Conn
 	ctx    context.Context
@@ -47,13 +47,13 @@
 	urgent chan []byte
 	bulk   chan bulkMessage
 	pacer  Pacer
-	// stalled ends the link when a message takes too long to be written.
-	stalled  *time.Timer
-	sent     atomic.Int64
-	received atomic.Int64
+	// writeTimer closes the link if a write takes too long.
+	writeTimer *time.Timer
+	sent       atomic.Int64
+	received   atomic.Int64
 }
 
-// Accept takes a link that a peer opens; pacer, which may be nil, paces its chunks.
+// Accept accepts a link from a peer; pacer, which may be nil, limits its chunks.
 func Accept(w http.ResponseWriter, r *http.Request, pacer Pacer) (*Conn, error) {
 	ws, err := websocket.Accept(w, r, &websocket.AcceptOptions{CompressionMode: websocket.CompressionDisabled})
 	if err != nil {
@@ -62,7 +62,7 @@
 	return newConn(ws, pacer), nil
 }
 
-// Dial opens a link to the daemon at a host and port; pacer, which may be nil, paces its chunks.
+// Dial opens a link to the daemon at a host and port; pacer, which may be nil, limits its chunks.
 func Dial(ctx context.Context, client *http.Client, address string, pacer Pacer) (*Conn, error) {
 	opts := &websocket.DialOptions{HTTPClient: client, CompressionMode: websocket.CompressionDisabled}
 	ws, _, err := websocket.Dial(ctx, "ws://"+address+Path, opts)
@@ -78,10 +78,10 @@
 	c := &Conn{
 		ws: ws, ctx: ctx, cancel: cancel, pacer: pacer,
 		urgent: make(chan []byte, queueSize),
-		bulk:   make(chan bulkMessage, bulkSize),
+		bulk:   make(chan bulkMessage, bulkQueueSize),
 	}
-	c.stalled = time.AfterFunc(writeTimeout, c.Close)
-	c.stalled.Stop()
+	c.writeTimer = time.AfterFunc(writeTimeout, c.Close)
+	c.writeTimer.Stop()
 	go func() {
 		defer c.Close()
 		for c.writeNext() {
@@ -96,17 +96,16 @@
 	return c.sent.Load(), c.received.Load()
 }
 
-// Close ends the link at once.
+// Close closes the link immediately, without a closing handshake.
 func (c *Conn) Close() {
 	c.cancel()
 	_ = c.ws.CloseNow()
 }
 
-// Context ends with the link.
+// Context returns a context that ends with the link.
 func (c *Conn) Context() context.Context { return c.ctx }
 
-// RoundTrip returns how long a few bytes take to the peer and back, behind all else on the way. Both ends have to be in
-// Receive.
+// RoundTrip returns the duration of a ping, which includes queueing behind other data. Both ends must be in Receive.
 func (c *Conn) RoundTrip(ctx context.Context) (time.Duration, error) {
 	began := time.Now()
 	if err := c.ws.Ping(ctx); err != nil {
@@ -129,27 +128,27 @@
 	return Decode(data)
 }
 
-// Send queues one message and waits while the queue is full. An error means that it was not and will not be sent;
-// none does not mean that it arrived.
+// Send queues one message and waits while the queue is full. An error means that the message will not be sent; success does not mean
+// that it arrived.
 func (c *Conn) Send(ctx context.Context, msg Message) error {
 	data, err := Encode(msg)
 	if err != nil {
 		return err
 	}
 	if msg.Kind() == KindChunk {
-		return queue(ctx, c, c.bulk, bulkMessage{data: data})
+		return enqueue(ctx, c, c.bulk, bulkMessage{data: data})
 	}
-	return queue(ctx, c, c.urgent, data)
+	return enqueue(ctx, c, c.urgent, data)
 }
 
-// Deliver sends a chunk and waits until it was written, so that the sender decides what goes out next.
+// Deliver sends a chunk and waits until it is written, so that the sender can choose the next chunk as late as possible.
 func (c *Conn) Deliver(ctx context.Context, chunk *Chunk) error {
 	data, err := Encode(chunk)
 	if err != nil {
 		return err
 	}
 	m := bulkMessage{data: data, written: make(chan struct{})}
-	if err := queue(ctx, c, c.bulk, m); err != nil {
+	if err := enqueue(ctx, c, c.bulk, m); err != nil {
 		return err
 	}
 	select {
@@ -162,7 +161,7 @@
 	}
 }
 
-// SendWithin queues one message; it waits while the queue is full, for a time at most.
+// SendWithin queues one message and waits up to limit while the queue is full.
 func (c *Conn) SendWithin(limit time.Duration, msg Message) error {
 	data, err := Prepare(msg)
 	if err != nil {
@@ -171,7 +170,7 @@
 	return c.SendEncodedWithin(limit, data)
 }
 
-// SendEncodedWithin is SendWithin of a message that is not a chunk and is encoded already.
+// SendEncodedWithin is SendWithin for an encoded message, which must not be a chunk.
 func (c *Conn) SendEncodedWithin(limit time.Duration, data Encoded) error {
 	select {
 	case c.urgent <- data:
@@ -180,11 +179,11 @@
 	}
 	ctx, cancel := context.WithTimeout(c.ctx, limit)
 	defer cancel()
-	return queue(ctx, c, c.urgent, []byte(data))
+	return enqueue(ctx, c, c.urgent, []byte(data))
 }
 
-// queue puts a message in one of a link's queues and waits while that is full.
-func queue[T any](ctx context.Context, c *Conn, to chan<- T, message T) error {
+// enqueue puts a message in one of a link's queues and waits while it is full.
+func enqueue[T any](ctx context.Context, c *Conn, to chan<- T, message T) error {
 	select {
 	case to <- message:
 		return nil
@@ -195,11 +194,11 @@
 	}
 }
 
-// write writes one message, a chunk piece by piece.
+// write writes one message, in pieces if it is a paced chunk.
 func (c *Conn) write(data []byte, bulk bool) error {
-	// One timer a link, not a context a message: links carry some hundred small messages a second.
-	c.stalled.Reset(writeTimeout)
-	defer c.stalled.Stop()
+	// One timer per link is cheaper than a context per message.
+	c.writeTimer.Reset(writeTimeout)
+	defer c.writeTimer.Stop()
 	if !bulk || c.pacer == nil {
 		return c.ws.Write(c.ctx, websocket.MessageBinary, data)
 	}
@@ -220,7 +219,7 @@
 	return w.Close()
 }
 
-// writeNext writes the next message, a chunk only when nothing else waits; it reports whether the link still stands.
+// writeNext writes the next message, a chunk only if no other message is queued; it reports whether the link is still open.
 func (c *Conn) writeNext() bool {
 	var data []byte
 	var bulk *bulkMessage
@@ -245,21 +244,21 @@
 	return true
 }
 
-// pacedReader reads a message; one that is long is a chunk and is paced.
+// pacedReader reads a message and limits its rate beyond minChunkBytes.
 type pacedReader struct {
 	conn *Conn
 	r    io.Reader
 	read int
 }
 
-// Read reads a piece at most.
+// Read reads up to one piece.
 func (p *pacedReader) Read(buf []byte) (int, error) {
 	if p.conn.pacer == nil {
 		return p.r.Read(buf)
 	}
 	n, err := p.r.Read(buf[:min(len(buf), p.conn.pacer.Piece())])
 	p.read += n
-	if n > 0 && p.read > chunkFrom {
+	if n > 0 && p.read > minChunkBytes {
 		if err := p.conn.pacer.Wait(p.conn.ctx, n); err != nil {
 			return n, err
 		}
--- a/link/daemon.go
+++ b/link/daemon.go
@@ -7,13 +7,13 @@
 	"github.com/coralstair/coralstair/fleet"
 )
 
-// The roles of the daemons of package forward and package fill, as their Hello tells them.
+// The roles of daemons in a Hello.
 const (
 	RoleEntry = "entry"
 	RoleBox   = "box"
 )
 
-// Hello opens a link and says who speaks.
+// Hello is the first message on a link and identifies its sender.
 type Hello struct {
 	ID          string         `cbor:"1,keyasint"`
 	Role        string         `cbor:"2,keyasint"`
@@ -21,14 +21,14 @@
 	Site        string         `cbor:"4,keyasint"`
 	Incarnation string         `cbor:"5,keyasint"`
 	Revision    fleet.Revision `cbor:"6,keyasint"`
-	// Weight is for how many entries one stands that keeps to some of many boxes; it is told again when it changes.
+	// Weight is how many entries this entry represents if each entry uses only a subset of the boxes; a change is sent again.
 	Weight float64 `cbor:"7,keyasint,omitempty"`
-	// Host is where the daemon itself takes links.
+	// Host is the host at which the sender itself accepts links.
 	Host string `cbor:"8,keyasint,omitempty"`
 }
 
-// Heartbeat is sent every second each way; Load is the box's requests in progress, Slots how many it takes, Entries how
-// many entries share them; Resumes says that its engine goes on with broken-off streams.
+// Heartbeat is sent periodically in both directions; Load is the number of the box's requests in progress, Slots its capacity, Entries
+// how many entries share it; Resumes says that its engine can resume interrupted streams.
 type Heartbeat struct {
 	Revision fleet.Revision  `cbor:"1,keyasint"`
 	Leaving  bool            `cbor:"2,keyasint,omitempty"`
@@ -41,7 +41,7 @@
 	Resumes  bool            `cbor:"9,keyasint,omitempty"`
 }
 
-// ServiceState is what a box offers for its service; Open says that it lets requests in.
+// ServiceState is the state of a box's service; Open says that it accepts requests.
 type ServiceState struct {
 	Service string `cbor:"1,keyasint"`
 	State   string `cbor:"2,keyasint"`
@@ -50,8 +50,8 @@
 	Open    bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// RolloutProgress counts chunks on the way to the declared version and bytes per source; CrossBytes are those of
-// PeerBytes that came from other sites.
+// RolloutProgress counts the chunks of the declared version and the bytes per source; CrossBytes is the part of PeerBytes from other
+// sites.
 type RolloutProgress struct {
 	Version     string `cbor:"1,keyasint,omitempty"`
 	Have        int    `cbor:"2,keyasint,omitempty"`
@@ -63,14 +63,13 @@
 	CrossBytes  int64  `cbor:"8,keyasint,omitempty"`
 }
 
-// Config hands on a whole configuration to a peer with an older revision.
+// Config carries a complete configuration to a peer with an older revision.
 type Config struct {
 	Config fleet.Config `cbor:"1,keyasint"`
 }
 
-// Report tells entries what the upstream of a box is doing. Closing says that it takes nothing new for a short time,
-// Model and Version what it runs, Waiting and Running its requests, Slow how many times slower than usual it works, and
-// Entries how many entries hear it.
+// Report carries the state of a box's upstream to entries: the loaded Model and Version, its Running and Waiting requests, whether it is
+// Closing (refuses new requests for a short time), by which factor it is Slow, and how many Entries receive the report.
 type Report struct {
 	Server  string  `cbor:"1,keyasint"`
 	Model   string  `cbor:"2,keyasint,omitempty"`
@@ -81,26 +80,25 @@
 	Closing bool    `cbor:"7,keyasint,omitempty"`
 	Slow    float64 `cbor:"8,keyasint,omitempty"`
 	Entries int     `cbor:"9,keyasint,omitempty"`
-	// Closes is how soon the server takes nothing new, 0 when it is not known to.
+	// Closes is the time until the server refuses new requests, 0 if unknown.
 	Closes time.Duration `cbor:"10,keyasint,omitempty"`
-	// Filled says that all pieces of the version that should run are held.
+	// Filled says that the box has all pieces of the target version.
 	Filled bool `cbor:"11,keyasint,omitempty"`
-	// Ready is how soon a server that has yet to load the version that should run is likely to run it; 0 when it does, or
-	// when that is not known.
+	// Ready is the expected time until the server runs the target version; 0 if it does, or if unknown.
 	Ready time.Duration `cbor:"12,keyasint,omitempty"`
-	// Born is when the life of the server began of which this is told, in Unix milliseconds by its clock; 0 when not known.
+	// Born is the start time of the server's incarnation, in Unix milliseconds by its own clock; 0 if unknown.
 	Born int64 `cbor:"13,keyasint,omitempty"`
-	// Standing is for how many entries those stand that hear the box; it varies from box to box, its mean does not.
+	// Standing is the sum of the weights of the entries that receive the report; it varies by box, but its mean does not.
 	Standing float64 `cbor:"14,keyasint,omitempty"`
-	// Revision is the newest configuration that the box knows of.
+	// Revision is the newest configuration revision that the box knows.
 	Revision contract.Revision `cbor:"15,keyasint,omitempty"`
-	// Leaving, Limited and Limit are what the server asks of its callers in the heads of its answers to the box.
+	// Leaving, Limited and Limit are the pushback signals in the server's response headers to the box.
 	Leaving bool    `cbor:"16,keyasint,omitempty"`
 	Limited bool    `cbor:"17,keyasint,omitempty"`
 	Limit   float64 `cbor:"18,keyasint,omitempty"`
 }
 
-// Target tells which version of a model should run, and how long ago that was named.
+// Target carries the target version of a model, and how long ago it was named.
 type Target struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version int64         `cbor:"2,keyasint"`
--- a/link/doc.go
+++ b/link/doc.go
@@ -1,3 +1,3 @@
-// Package link carries typed messages between the system's own processes: one
-// WebSocket per pair of processes that needs one, one CBOR frame per message.
+// Package link carries typed messages between daemons over a WebSocket, with one
+// CBOR frame per message.
 package link
--- a/link/errors.go
+++ b/link/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// FrameError says that a peer sent something that is no frame of ours.
+// FrameError reports an invalid frame from a peer, or a message that cannot be encoded.
 type FrameError struct {
 	Reason string
 	Err    error
@@ -19,7 +19,7 @@
 // Unwrap returns the codec's error.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// ClosedError says that a link has ended.
+// ClosedError reports that a link could not be opened or has closed.
 type ClosedError struct{ Err error }
 
 // Error gives the cause.
--- a/link/follow.go
+++ b/link/follow.go
@@ -5,35 +5,35 @@
 	"github.com/coralstair/coralstair/quarantine"
 )
 
-// Follow asks an entry to tell, from now on, what a box of a service needs of what the store holds, so that boxes need not
-// read it themselves; an empty service ends that. List is asked by another entry, for the servers of all services.
+// Follow subscribes a box to an entry's feed of the store's data for a service, so that boxes need not read the store; an empty service
+// unsubscribes. List subscribes another entry to the servers of all services.
 type Follow struct {
 	Service string `cbor:"1,keyasint,omitempty"`
 	List    bool   `cbor:"2,keyasint,omitempty"`
 }
 
-// Entries tells an entry which entries of its site hear a box, by the hosts at which they take links.
+// Entries lists the entries of the receiver's site that are linked to a box, by the hosts at which they accept links.
 type Entries struct {
 	Hosts []string `cbor:"1,keyasint,omitempty"`
 }
 
-// Declared tells a box the services that it needs of a configuration: its own and the origins. Away says that the entry
-// has lost the store and tells nothing more: another entry is to be followed.
+// Declared carries the services of a configuration that a box needs: its own and the origins. Away says that the entry has lost the
+// store and ends its feed, so that the box must follow another entry.
 type Declared struct {
 	Revision contract.Revision  `cbor:"1,keyasint,omitempty"`
 	Services []contract.Service `cbor:"2,keyasint,omitempty"`
 	Away     bool               `cbor:"3,keyasint,omitempty"`
 }
 
-// Servers tells a box the listed servers of its service: all of them when Reset, else those that changed or are gone.
+// Servers carries the listed servers to a follower: all of them if Reset, otherwise those that changed or are gone.
 type Servers struct {
 	Reset   bool              `cbor:"1,keyasint,omitempty"`
 	Present []contract.Server `cbor:"2,keyasint,omitempty"`
 	Gone    []string          `cbor:"3,keyasint,omitempty"`
 }
 
-// Ends tells an entry what entries told of ends of servers and of requests under which they ended: all of it when Reset, else what
-// changed or is gone.
+// Ends relays the quarantine records of server exits and of the requests in progress: all of them if Reset, otherwise what changed or
+// is gone.
 type Ends struct {
 	Reset   bool               `cbor:"1,keyasint,omitempty"`
 	Records quarantine.Records `cbor:"2,keyasint"`
--- a/link/frame_test.go
+++ b/link/frame_test.go
@@ -27,12 +27,12 @@
 			Server: "s", Model: "m", Version: 2, Running: 3, Waiting: 1, Used: 9, Closing: true, Slow: 1.5, Entries: 5,
 			Closes: time.Second, Filled: true,
 		},
-		"chunk that waited": &Chunk{Manifest: 7, Chunk: 3, Body: []byte("z"), Waited: time.Second},
-		"want manifest":     &WantManifest{Model: "m", Version: 2},
-		"manifest":          &Manifest{Model: "m", Version: 2, Size: 8, Digests: []byte("d")},
-		"entries":           &Entries{Hosts: []string{"10.0.0.1"}},
-		"follow the list":   &Follow{List: true},
-		"target":            &Target{Model: "m", Version: 2, Ago: time.Second},
+		"queued chunk":    &Chunk{Manifest: 7, Chunk: 3, Body: []byte("z"), Waited: time.Second},
+		"want manifest":   &WantManifest{Model: "m", Version: 2},
+		"manifest":        &Manifest{Model: "m", Version: 2, Size: 8, Digests: []byte("d")},
+		"entries":         &Entries{Hosts: []string{"10.0.0.1"}},
+		"follow the list": &Follow{List: true},
+		"target":          &Target{Model: "m", Version: 2, Ago: time.Second},
 	}
 }
 
--- a/link/message.go
+++ b/link/message.go
@@ -1,6 +1,6 @@
 package link
 
-// Kind tells the type of a message on the wire; numbers are never given anew.
+// Kind identifies the type of a message on the wire; numbers are never reused.
 type Kind uint8
 
 // The kinds of message.
@@ -60,7 +60,7 @@
 	KindRefused:      func() Message { return new(Refused) },
 }
 
-// newMessage returns an empty message of a kind; nil when the kind is not known.
+// newMessage returns an empty message of a kind, or nil if the kind is unknown.
 func newMessage(kind Kind) Message {
 	if empty, ok := emptyMessages[kind]; ok {
 		return empty()
--- a/link/refused.go
+++ b/link/refused.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Refused tells an entry which requests another entry of its site has refused, and may come back.
+// Refused lists the requests that an entry has refused to the other entries of its site, where they may be retried.
 type Refused struct {
 	Refusals []Refusal `cbor:"1,keyasint"`
 }
 
-// Refusal is a request that was refused: what tells it when it comes again, how long ago it was tried first, and how much longer its
-// caller waits, as of the sending.
+// Refusal is a refused request: its fingerprint, the time since the caller's first try, and the time left until its deadline, both as
+// of the sending.
 type Refusal struct {
 	_     struct{} `cbor:",toarray"`
 	Print uint64
--- a/link/request.go
+++ b/link/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Request hands one caller's request to a box; Deadline is the time left.
+// Request sends a caller's request to a box; Deadline is the time left, Credit the bytes of the response that the box may send.
 type Request struct {
 	ID       uint64              `cbor:"1,keyasint"`
 	Service  string              `cbor:"2,keyasint"`
@@ -15,18 +15,18 @@
 	Credit   int                 `cbor:"9,keyasint"`
 }
 
-// Cancel tells a box that the caller of a request has gone.
+// Cancel cancels a request at a box.
 type Cancel struct {
 	ID uint64 `cbor:"1,keyasint"`
 }
 
-// Credit lets a box send so many more bytes of an answer.
+// Credit grants a box more bytes of a response to send.
 type Credit struct {
 	ID    uint64 `cbor:"1,keyasint"`
 	Bytes int    `cbor:"2,keyasint"`
 }
 
-// Head opens an answer and pins it to a box and a version.
+// Head starts a response; Version and Digest identify the weights that produce it.
 type Head struct {
 	ID      uint64              `cbor:"1,keyasint"`
 	Status  int                 `cbor:"2,keyasint"`
@@ -35,14 +35,14 @@
 	Digest  string              `cbor:"5,keyasint,omitempty"`
 }
 
-// Data is a part of an answer's body.
+// Data is a part of a response's body.
 type Data struct {
 	ID   uint64 `cbor:"1,keyasint"`
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// End closes an answer with its outcome; Load is the box's requests in progress then, Ended names the life of the upstream when it
-// has ended under the request.
+// End ends a response with its outcome; Load is the number of the box's requests in progress, Ended the upstream's incarnation if it
+// exited during the request.
 type End struct {
 	ID      uint64  `cbor:"1,keyasint"`
 	Outcome Outcome `cbor:"2,keyasint"`
@@ -52,7 +52,7 @@
 	Ended   string  `cbor:"6,keyasint,omitempty"`
 }
 
-// Outcome says what became of a request.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
 // The outcomes of a request.
@@ -62,7 +62,7 @@
 	OutcomeUnknown
 )
 
-// String returns the outcome as callers read it.
+// String returns the outcome as callers see it in a header.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeRan:
--- a/link/weights.go
+++ b/link/weights.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Have, Want, Chunk and Decline name a manifest by the first eight bytes of its digest: what comes is verified against
-// the whole digest anyway, and on a thin link 32 bytes in each message would cost more than the message.
+// Have, Want, Chunk and Decline identify a manifest by the first eight bytes of its digest to keep messages small; received data is
+// verified against the full digest.
 
-// Have tells a neighbour which chunks of a manifest the sender holds: all of them when Reset, else those new since the
-// last. Queue is how many asks wait at the sender, Given how many chunks it has given.
+// Have lists the chunks of a manifest that the sender has: all of them if Reset, otherwise those new since its last message. Queue is
+// the number of requests queued at the sender, Given the number of chunks that it has sent.
 type Have struct {
 	Manifest uint64   `cbor:"1,keyasint"`
 	Reset    bool     `cbor:"2,keyasint,omitempty"`
@@ -15,13 +15,13 @@
 	Given    int      `cbor:"5,keyasint,omitempty"`
 }
 
-// Want asks a neighbour for one chunk.
+// Want requests one chunk from a peer.
 type Want struct {
 	Manifest uint64 `cbor:"1,keyasint"`
 	Chunk    uint32 `cbor:"2,keyasint"`
 }
 
-// Chunk carries one chunk; Waited is how long it was asked for before its turn to leave came.
+// Chunk carries one chunk; Waited is how long its request was queued at the sender.
 type Chunk struct {
 	Manifest uint64        `cbor:"1,keyasint"`
 	Chunk    uint32        `cbor:"2,keyasint"`
@@ -29,19 +29,19 @@
 	Waited   time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// Decline says that a wanted chunk will not come from here now.
+// Decline rejects the request for a chunk.
 type Decline struct {
 	Manifest uint64 `cbor:"1,keyasint"`
 	Chunk    uint32 `cbor:"2,keyasint"`
 }
 
-// WantManifest asks a neighbour for the digests of a version's pieces, now or as soon as it has them.
+// WantManifest requests the digests of a version's pieces from a peer, now or as soon as it has them.
 type WantManifest struct {
 	Model   string `cbor:"1,keyasint"`
 	Version int64  `cbor:"2,keyasint"`
 }
 
-// Manifest hands on the digests of a version's pieces, each 32 bytes long, in order.
+// Manifest carries the digests of a version's pieces, each 32 bytes long, in order.
 type Manifest struct {
 	Model   string `cbor:"1,keyasint"`
 	Version int64  `cbor:"2,keyasint"`
