--- a/entry/stream.go
+++ b/entry/stream.go
@@ -49,7 +49,7 @@
 	writeHead(w, a, t.req.id)
 	s := &streamer{entry: e, w: w, task: t, current: a}
 	if !s.resumable() {
-		a.call.Keep()
+		a.call.Pin()
 	}
 	if record != nil {
 		s.recorded = new(bytes.Buffer)
--- a/relay/call.go
+++ b/relay/call.go
@@ -9,57 +9,57 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// Call is one request in progress at a box.
+// Call is a request in progress at a box.
 type Call struct {
 	client     *Client
 	id         uint64
 	repeatable bool
-	// kept says that the answer can only come from here.
-	kept atomic.Bool
-
-	mu      sync.Mutex
-	head    *link.Head
-	queue   [][]byte
-	done    bool
-	err     error
-	digest  string
-	unacked int
-	ready   chan struct{}
+	// pinned excludes the call from Client.Abandon.
+	pinned atomic.Bool
+
+	mu         sync.Mutex
+	head       *link.Head
+	queue      [][]byte
+	done       bool
+	err        error
+	digest     string
+	uncredited int
+	ready      chan struct{}
 }
 
 func newCall(client *Client, id uint64) *Call {
 	return &Call{client: client, id: id, ready: make(chan struct{}, 1)}
 }
 
-// Cancel tells the box that nobody waits for the answer any more.
+// Cancel cancels the request at the box.
 func (c *Call) Cancel() {
 	if c.client.remove(c) {
-		// Not waited for: the link may be stuck.
+		// Sent in the background, since the link may be stalled.
 		go func() { _ = c.client.sender.Send(c.client.ctx, &link.Cancel{ID: c.id}) }()
 	}
 }
 
-// Digest returns the digest that the box says it served until the end of the answer.
+// Digest returns the digest of the version that the box reports at the end of the response.
 func (c *Call) Digest() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.digest
 }
 
-// Head returns the answer's head.
+// Head returns the head of the response.
 func (c *Call) Head() *link.Head {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.head
 }
 
-// Keep has Abandon pass the call over, since its answer has begun and can not go on elsewhere.
-func (c *Call) Keep() { c.kept.Store(true) }
+// Pin excludes the call from Abandon, since its response has started and cannot resume elsewhere.
+func (c *Call) Pin() { c.pinned.Store(true) }
 
-// Next returns the next part of the answer's body; io.EOF says that the answer is whole.
+// Next returns the next part of the response's body; io.EOF means that the response is complete.
 func (c *Call) Next(ctx context.Context) ([]byte, error) {
 	for {
-		body, credit, ok, err := c.take()
+		body, credit, ok, err := c.takePart()
 		if credit > 0 {
 			_ = c.client.sender.Send(ctx, &link.Credit{ID: c.id, Bytes: credit})
 		}
@@ -84,7 +84,7 @@
 			return err
 		}
 		if done {
-			return &LostError{Reason: "the answer ended before it began"}
+			return &LostError{Reason: "the response ended without a head"}
 		}
 		if err := c.wait(ctx); err != nil {
 			return err
@@ -137,17 +137,17 @@
 	}
 }
 
-// take removes the next part; credit is what to give back to the box once half a window has been read.
-func (c *Call) take() (body []byte, credit int, ok bool, err error) {
+// takePart removes the next part; credit is what to grant the box, once half a window has been read.
+func (c *Call) takePart() (body []byte, credit int, ok bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
 		body = c.queue[0]
 		c.queue = c.queue[1:]
-		c.unacked += len(body)
-		if c.unacked >= Window/2 {
-			credit = c.unacked
-			c.unacked = 0
+		c.uncredited += len(body)
+		if c.uncredited >= Window/2 {
+			credit = c.uncredited
+			c.uncredited = 0
 		}
 		return body, credit, true, nil
 	}
--- a/relay/client.go
+++ b/relay/client.go
@@ -8,64 +8,64 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// Window is how many bytes of an answer may be on the way to a reader that has not read them.
+// Window is how many unread bytes of a response may be in flight.
 const Window = 256 << 10
 
-const cancelReason = "the caller has gone"
+const cancelReason = "the request was cancelled"
 
 // Sender is the sending side of a link.
 type Sender interface {
 	Send(ctx context.Context, msg link.Message) error
 }
 
-// Client hands requests to the box at the other end of one link.
+// Client sends requests to the box at the other end of a link.
 type Client struct {
 	ctx    context.Context
 	sender Sender
-	last   atomic.Uint64
+	lastID atomic.Uint64
 
-	mu    sync.Mutex
-	calls map[uint64]*Call
-	ended bool
+	mu     sync.Mutex
+	calls  map[uint64]*Call
+	closed bool
 }
 
-// NewClient returns a client of a link; ctx ends with the link.
+// NewClient returns a client on a link; ctx ends with the link.
 func NewClient(ctx context.Context, sender Sender) *Client {
 	return &Client{ctx: ctx, sender: sender, calls: make(map[uint64]*Call)}
 }
 
-// Abandon gives up the calls that may be made again elsewhere: the box has been silent for long. Others go on waiting,
-// since what became of them could not be found out, and so do those that nothing else can hold.
+// Abandon fails the repeatable calls of a box without heartbeats, so that they can be retried elsewhere. Pinned calls keep waiting, and
+// so do others, since their outcome would stay unknown.
 func (c *Client) Abandon() {
 	c.mu.Lock()
-	var given []*Call
+	var abandoned []*Call
 	for _, call := range c.calls {
-		if call.repeatable && !call.kept.Load() {
-			given = append(given, call)
+		if call.repeatable && !call.pinned.Load() {
+			abandoned = append(abandoned, call)
 		}
 	}
 	c.mu.Unlock()
-	for _, call := range given {
+	for _, call := range abandoned {
 		call.Cancel()
-		call.end(&LostError{Reason: "the box is silent"})
+		call.end(&LostError{Reason: "the box sends no heartbeats"})
 	}
 }
 
-// Close ends the client with its link: what became of the calls in progress is not known.
+// Close closes the client when its link has ended; the outcome of the calls in progress is unknown.
 func (c *Client) Close(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
+	c.closed = true
 	for id, call := range c.calls {
 		call.end(&LostError{Reason: "the link to the box ended", Err: cause})
 		delete(c.calls, id)
 	}
 }
 
-// Do hands a request over and waits for the answer's head; repeatable says that it may be given up by Abandon.
-// A NotRunError says that the request did not run, a LostError that this is not known.
+// Do sends a request and waits for the head of the response; repeatable lets Abandon fail the call.
+// A NotRunError means that the request did not run, a LostError that this is unknown.
 func (c *Client) Do(ctx context.Context, req link.Request, repeatable bool) (*Call, error) {
-	req.ID = c.last.Add(1)
+	req.ID = c.lastID.Add(1)
 	req.Credit = Window
 	call := newCall(c, req.ID)
 	call.repeatable = repeatable
@@ -74,7 +74,7 @@
 	}
 	if err := c.sender.Send(ctx, &req); err != nil {
 		c.remove(call)
-		return nil, &NotRunError{Reason: "not handed over: " + err.Error()}
+		return nil, &NotRunError{Reason: "not sent: " + err.Error()}
 	}
 	if err := call.awaitHead(ctx); err != nil {
 		return nil, err
@@ -82,8 +82,7 @@
 	return call, nil
 }
 
-// Handle takes one message that came over the link; others than those of an answer are passed over.
-// A message for a call that has ended is late and is dropped.
+// Handle handles a message from the link; it ignores messages that are not part of a response, or whose call has ended.
 func (c *Client) Handle(msg link.Message) {
 	switch m := msg.(type) {
 	case *link.Head:
@@ -112,7 +111,7 @@
 func (c *Client) add(call *Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended {
+	if c.closed {
 		return false
 	}
 	c.calls[call.id] = call
--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,4 +1,4 @@
-// Package relay carries callers' requests and their answers over a link between
-// an entry and a box, matched by request id, with credit so that a slow reader
-// holds back only its own answer.
+// Package relay carries requests and responses over a link between an entry and a
+// box, multiplexed by request ID, with credit-based flow control so that a slow
+// reader delays only its own response.
 package relay
--- a/relay/errors.go
+++ b/relay/errors.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// NotRunError says that a request certainly did not run.
+// NotRunError reports that a request certainly did not run.
 type NotRunError struct{ Reason string }
 
 // Error gives the reason.
 func (e *NotRunError) Error() string { return "not run: " + e.Reason }
 
-// LostError says that it is not known whether, or how far, a request ran.
+// LostError reports that it is unknown whether, or how far, a request ran.
 type LostError struct {
 	Reason string
 	Err    error
-	// Ended names the life of the upstream that has ended under the request; empty when none has.
+	// Ended is the incarnation of the upstream that exited during the request; empty if none did.
 	Ended string
 }
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -12,7 +12,7 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// pipe hands what one end sends to a function at the other, in order.
+// pipe passes the messages of one end to a handler at the other, in order.
 type pipe struct{ messages chan link.Message }
 
 func newPipe(ctx context.Context, handle func(link.Message)) *pipe {
@@ -58,7 +58,7 @@
 	}
 }
 
-func answer(parts int, size int) Handler {
+func respond(parts int, size int) Handler {
 	return func(_ context.Context, req *link.Request, resp *Responder) {
 		_ = resp.Head(link.Head{Status: 200})
 		for range parts {
@@ -78,12 +78,12 @@
 		notRun  bool
 		lost    bool
 	}{
-		"whole": {handler: answer(3, 10), want: 30},
-		"empty": {handler: answer(0, 0)},
+		"complete": {handler: respond(3, 10), want: 30},
+		"empty":    {handler: respond(0, 0)},
 		"refused": {handler: func(_ context.Context, _ *link.Request, resp *Responder) {
 			_ = resp.End(link.End{Outcome: link.OutcomeNotRun})
 		}, notRun: true},
-		"broke off": {handler: func(_ context.Context, _ *link.Request, resp *Responder) {
+		"interrupted": {handler: func(_ context.Context, _ *link.Request, resp *Responder) {
 			_ = resp.End(link.End{Outcome: link.OutcomeUnknown})
 		}, lost: true},
 		"no head": {handler: func(_ context.Context, _ *link.Request, resp *Responder) {
@@ -111,13 +111,13 @@
 	}
 }
 
-// TestSlowReader: an answer that is not read holds at most a window back, and an answer beside it goes on.
+// TestSlowReader checks that an unread response buffers at most a window and does not block another response.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := 0
 		client := connect(t.Context(), func(ctx context.Context, req *link.Request, resp *Responder) {
 			if req.Path == "/quick" {
-				answer(1, 1)(ctx, req, resp)
+				respond(1, 1)(ctx, req, resp)
 				return
 			}
 			_ = resp.Head(link.Head{Status: 200})
@@ -142,10 +142,10 @@
 			t.Fatal(err)
 		}
 		if body, err := readAll(t.Context(), quick); !errors.Is(err, io.EOF) || len(body) != 1 {
-			t.Errorf("the answer beside: %q, %v", body, err)
+			t.Errorf("the other response: %q, %v", body, err)
 		}
 		if body, err := readAll(t.Context(), slow); !errors.Is(err, io.EOF) || len(body) != 100*Window/8 {
-			t.Errorf("read at last: %d bytes, %v", len(body), err)
+			t.Errorf("the slow response: %d bytes, %v", len(body), err)
 		}
 	})
 }
@@ -163,16 +163,16 @@
 		client.Close(io.ErrUnexpectedEOF)
 		var lost *LostError
 		if _, err := call.Next(t.Context()); !errors.As(err, &lost) {
-			t.Errorf("error %v, want that the answer is lost", err)
+			t.Errorf("error %v, want a LostError", err)
 		}
 		var notRunErr *NotRunError
 		if _, err := client.Do(t.Context(), link.Request{Deadline: time.Hour}, true); !errors.As(err, &notRunErr) {
-			t.Errorf("error %v, want that nothing was handed over", err)
+			t.Errorf("error %v, want a NotRunError", err)
 		}
 	})
 }
 
-// TestCallerGone: the box is told, so that the engine stops; what comes late is dropped.
+// TestCallerGone checks that a request is cancelled at the box when the caller's context ends, and late messages are dropped.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cancelled := make(chan struct{})
@@ -184,17 +184,17 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := client.Do(ctx, link.Request{Deadline: time.Hour}, true); err == nil {
-			t.Fatal("an answer without a head")
+			t.Fatal("the call succeeded without a head")
 		}
 		<-cancelled
 		synctest.Wait()
 		if n := client.InFlight(); n != 0 {
-			t.Errorf("%d calls still counted", n)
+			t.Errorf("%d calls in flight, want 0", n)
 		}
 	})
 }
 
-// TestAbandon: of the calls at a silent box those that may be made again are given up, the others are not.
+// TestAbandon checks that only repeatable calls are abandoned.
 func TestAbandon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := connect(t.Context(), func(ctx context.Context, _ *link.Request, resp *Responder) {
@@ -208,19 +208,19 @@
 			}
 			client.Abandon()
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-			begin := time.Now()
+			start := time.Now()
 			_, err = call.Next(ctx)
 			cancel()
-			if givenUp := err != nil && time.Since(begin) == 0; givenUp != repeatable {
-				t.Errorf("%s: given up %v", name, givenUp)
+			if abandoned := err != nil && time.Since(start) == 0; abandoned != repeatable {
+				t.Errorf("%s: abandoned %v", name, abandoned)
 			}
 		}
 	})
 }
 
-// TestDeadline is for the beginning of an answer: a stream that has begun is not cut off.
+// TestDeadline checks that the deadline does not cut off a stream that has started.
 func TestDeadline(t *testing.T) {
-	for name, stream := range map[string]bool{"stream": true, "whole answer": false} {
+	for name, stream := range map[string]bool{"stream": true, "plain response": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				client := connect(t.Context(), func(ctx context.Context, _ *link.Request, resp *Responder) {
--- a/relay/server.go
+++ b/relay/server.go
@@ -8,117 +8,116 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// Handler runs one request; it writes the answer to a Responder and ends it in any case.
+// Handler runs a request; it writes the response to a Responder and must call End.
 type Handler func(ctx context.Context, req *link.Request, resp *Responder)
 
-// Server runs the requests that come over one link.
+// Server runs the requests that arrive on a link.
 type Server struct {
 	ctx     context.Context
 	sender  Sender
 	handler Handler
 
-	mu   sync.Mutex
-	runs map[uint64]*Responder
+	mu         sync.Mutex
+	responders map[uint64]*Responder
 }
 
-// NewServer returns a server of a link; ctx ends with the link.
+// NewServer returns a server on a link; ctx ends with the link.
 func NewServer(ctx context.Context, sender Sender, handler Handler) *Server {
-	return &Server{ctx: ctx, sender: sender, handler: handler, runs: make(map[uint64]*Responder)}
+	return &Server{ctx: ctx, sender: sender, handler: handler, responders: make(map[uint64]*Responder)}
 }
 
-// Handle takes one message that came over the link; others than those of a request are passed over.
+// Handle handles a message from the link; it ignores messages that are not part of a request.
 func (s *Server) Handle(msg link.Message) {
 	switch m := msg.(type) {
 	case *link.Request:
 		s.start(m)
 	case *link.Cancel:
-		if resp := s.find(m.ID); resp != nil {
+		if resp := s.responder(m.ID); resp != nil {
 			resp.cancel()
 		}
 	case *link.Credit:
-		if resp := s.find(m.ID); resp != nil {
+		if resp := s.responder(m.ID); resp != nil {
 			resp.addCredit(m.Bytes)
 		}
 	}
 }
 
-func (s *Server) find(id uint64) *Responder {
+func (s *Server) responder(id uint64) *Responder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.runs[id]
+	return s.responders[id]
 }
 
-func (s *Server) forget(id uint64) {
+func (s *Server) remove(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.runs, id)
+	delete(s.responders, id)
 }
 
 func (s *Server) start(req *link.Request) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	resp := &Responder{
 		server: s, id: req.ID, ctx: ctx, cancel: cancel,
-		credit: req.Credit, more: make(chan struct{}, 1),
+		credit: req.Credit, creditAdded: make(chan struct{}, 1),
 	}
 	resp.deadline = time.AfterFunc(req.Deadline, cancel)
 	s.mu.Lock()
-	s.runs[req.ID] = resp
+	s.responders[req.ID] = resp
 	s.mu.Unlock()
 	go func() {
 		defer cancel()
 		defer resp.deadline.Stop()
-		defer s.forget(req.ID)
+		defer s.remove(req.ID)
 		s.handler(ctx, req, resp)
 	}()
 }
 
-// Responder writes one answer.
+// Responder writes one response.
 type Responder struct {
-	server *Server
-	id     uint64
-	ctx    context.Context
-	cancel context.CancelFunc
-	more   chan struct{}
-	// deadline ends the request unless a stream has begun.
+	server      *Server
+	id          uint64
+	ctx         context.Context
+	cancel      context.CancelFunc
+	creditAdded chan struct{}
+	// deadline cancels the request; it is stopped once a stream has started.
 	deadline *time.Timer
 
-	mu     sync.Mutex
-	credit int
-	begun  bool
+	mu       sync.Mutex
+	credit   int
+	headSent bool
 }
 
-// Begun reports whether the answer's head was sent.
+// Begun reports whether the head of the response was sent.
 func (r *Responder) Begun() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.begun
+	return r.headSent
 }
 
-// Data sends a part of the body; it waits while the reader has no room.
+// Data sends a part of the body; it waits while there is no credit.
 func (r *Responder) Data(body []byte) error {
-	if err := r.spend(len(body)); err != nil {
+	if err := r.consumeCredit(len(body)); err != nil {
 		return err
 	}
 	return r.server.sender.Send(r.ctx, &link.Data{ID: r.id, Body: body})
 }
 
-// End closes the answer; it is sent also after the request's deadline.
+// End ends the response; it is sent also after the request's deadline.
 func (r *Responder) End(end link.End) error {
 	end.ID = r.id
 	return r.server.sender.Send(r.server.ctx, &end)
 }
 
-// Head opens the answer.
+// Head starts the response.
 func (r *Responder) Head(head link.Head) error {
 	head.ID = r.id
 	r.mu.Lock()
-	r.begun = true
+	r.headSent = true
 	r.mu.Unlock()
 	return r.server.sender.Send(r.ctx, &head)
 }
 
-// Stream says that the answer is a stream that has begun: the request's deadline, which is for its beginning, no
-// longer cuts it off.
+// Stream stops the request's deadline, which does not apply to a stream that has started.
 func (r *Responder) Stream() { r.deadline.Stop() }
 
 func (r *Responder) addCredit(n int) {
@@ -126,13 +125,13 @@
 	r.credit += n
 	r.mu.Unlock()
 	select {
-	case r.more <- struct{}{}:
+	case r.creditAdded <- struct{}{}:
 	default:
 	}
 }
 
-// spend waits until there is any credit; one part may overdraw it.
-func (r *Responder) spend(n int) error {
+// consumeCredit waits until there is any credit; one part may overdraw it.
+func (r *Responder) consumeCredit(n int) error {
 	for {
 		r.mu.Lock()
 		if r.credit > 0 {
@@ -142,7 +141,7 @@
 		}
 		r.mu.Unlock()
 		select {
-		case <-r.more:
+		case <-r.creditAdded:
 		case <-r.ctx.Done():
 			return r.ctx.Err()
 		}
