--- a/fleet/config.go
+++ b/fleet/config.go
@@ -8,10 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Revision counts the accepted decisions of a fleet; it only grows.
+// Revision counts the accepted changes of a fleet; it only grows.
 type Revision uint64
 
-// Config is the whole declared state of a fleet at one revision.
+// Config is the complete declared state of a fleet at one revision.
 type Config struct {
 	Fleet    string             `cbor:"1,keyasint"`
 	Revision Revision           `cbor:"2,keyasint"`
@@ -23,7 +23,7 @@
 	Dropped  bool               `cbor:"8,keyasint,omitempty"`
 }
 
-// Change is one accepted decision: what it puts and drops, and who decided it.
+// Change is one accepted change of the declared state, with its operator and statement.
 type Change struct {
 	Fleet        string      `cbor:"1,keyasint"`
 	Revision     Revision    `cbor:"2,keyasint"`
@@ -42,7 +42,7 @@
 	DropFleet    bool        `cbor:"15,keyasint,omitempty"`
 }
 
-// DecodeChange reads a change from its CBOR form.
+// DecodeChange decodes a change from CBOR.
 func DecodeChange(body []byte) (Change, error) {
 	var change Change
 	if err := cbor.Unmarshal(body, &change); err != nil {
@@ -51,7 +51,7 @@
 	return change, nil
 }
 
-// DecodeConfig reads a configuration from its CBOR form.
+// DecodeConfig decodes a configuration from CBOR.
 func DecodeConfig(body []byte) (Config, error) {
 	var cfg Config
 	if err := cbor.Unmarshal(body, &cfg); err != nil {
@@ -60,7 +60,7 @@
 	return cfg, nil
 }
 
-// Declared returns the version that a service should run; ok is false while none is declared.
+// Declared returns the declared version of a service; ok is false if there is none.
 func (c Config) Declared(service string) (version Version, ok bool) {
 	svc, ok := c.Services[service]
 	if !ok || svc.Version == "" {
@@ -70,7 +70,7 @@
 	return version, ok
 }
 
-// Digests returns the digests of all versions of a service: boxes may answer from any of them while a rollout is under way.
+// Digests returns the digests of all versions of a service; during a rollout boxes may serve any of them.
 func (c Config) Digests(service string) map[string]bool {
 	digests := make(map[string]bool)
 	for _, version := range c.Versions {
@@ -81,17 +81,17 @@
 	return digests
 }
 
-// Encode returns the CBOR form of the configuration.
+// Encode encodes the configuration as CBOR.
 func (c Config) Encode() ([]byte, error) {
 	return cbor.Marshal(c)
 }
 
-// ServiceNames returns the names of the services in order.
+// ServiceNames returns the sorted names of the services.
 func (c Config) ServiceNames() []string {
 	return slices.Sorted(maps.Keys(c.Services))
 }
 
-// WithChange returns the configuration after a change, at the change's revision.
+// WithChange returns the configuration with a change applied, at the change's revision.
 func (c Config) WithChange(change Change) Config {
 	next := c
 	next.Fleet = change.Fleet
@@ -107,7 +107,7 @@
 	return next
 }
 
-// Encode returns the CBOR form of the change.
+// Encode encodes the change as CBOR.
 func (c Change) Encode() ([]byte, error) {
 	return cbor.Marshal(c)
 }
--- a/fleet/errors.go
+++ b/fleet/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// DecodeError says that stored or received declared state could not be read.
+// DecodeError reports stored or received state that cannot be decoded.
 type DecodeError struct {
 	What string
 	Err  error
 }
 
-// Error names what could not be read.
+// Error names what cannot be decoded.
 func (e *DecodeError) Error() string {
 	return fmt.Sprintf("decode %s: %v", e.What, e.Err)
 }
--- a/fleet/service.go
+++ b/fleet/service.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Kind says what stands behind a service.
+// Kind is the kind of a service's upstreams.
 type Kind string
 
 // The kinds of service.
@@ -9,7 +9,7 @@
 	KindPlain Kind = "plain"
 )
 
-// Preference says what a rollout of the fleet weighs more.
+// Preference is what a rollout of the fleet minimizes first.
 type Preference string
 
 // The preferences of a fleet; the zero value counts as PreferOriginBytes.
@@ -18,7 +18,7 @@
 	PreferTime        Preference = "time"
 )
 
-// DefaultRolloutShare is the percentage of a service's replicas that may drain at a time.
+// DefaultRolloutShare is the default percentage of a service's replicas that may drain at a time.
 const DefaultRolloutShare = 25
 
 // Service is one service of a fleet as its operators declared it.
@@ -40,7 +40,7 @@
 	return max(1, s.Replicas*share/100)
 }
 
-// WithOnce returns the service with its requests marked, or not, as not to be repeated.
+// WithOnce returns the service with its requests limited, or not, to run at most once.
 func (s Service) WithOnce(once bool) Service {
 	s.Once = once
 	return s
@@ -64,7 +64,7 @@
 	return s
 }
 
-// Version is a named set of weights of a service; Digest is that of its manifest.
+// Version is a named set of weights of a service; Digest is the digest of its manifest.
 type Version struct {
 	Service string `cbor:"1,keyasint"`
 	Name    string `cbor:"2,keyasint"`
@@ -88,7 +88,7 @@
 	Weight      int    `cbor:"3,keyasint,omitempty"`
 }
 
-// WithConcurrency returns the team with another limit of requests in progress at one entry.
+// WithConcurrency returns the team with another limit of requests in progress per entry.
 func (t Team) WithConcurrency(n int) Team {
 	t.Concurrency = n
 	return t
