--- a/contract/config.go
+++ b/contract/config.go
@@ -5,26 +5,26 @@
 	"strings"
 )
 
-// Revision numbers configurations; a later one is greater.
+// Revision is the number of a configuration; a later one is greater.
 type Revision int64
 
-// Config is one accepted configuration, whole; the zero Config allows nothing.
+// Config is a complete accepted configuration; the zero Config has no routes.
 type Config struct {
 	Revision Revision
 	Limits   Limits
-	// Keyed says that requests carry keys, unless their route is public.
+	// Keyed says that requests need a key unless their route is public.
 	Keyed bool
 
-	routes   map[string][]*Route
-	services map[string]*Service
-	teams    map[string]*Team
-	count    int
+	routes     map[string][]*Route
+	services   map[string]*Service
+	teams      map[string]*Team
+	routeCount int
 }
 
-// NewConfig returns a configuration of its parts, which must not change afterwards.
+// NewConfig returns a configuration of the given parts, which must not be modified afterwards.
 func NewConfig(revision Revision, limits Limits, routes []Route, services []Service, teams []Team) *Config {
 	c := &Config{
-		Revision: revision, Limits: limits, Keyed: len(teams) > 0, count: len(routes),
+		Revision: revision, Limits: limits, Keyed: len(teams) > 0, routeCount: len(routes),
 		routes:   make(map[string][]*Route),
 		services: make(map[string]*Service, len(services)),
 		teams:    make(map[string]*Team),
@@ -33,8 +33,8 @@
 		host := strings.ToLower(routes[i].Host)
 		c.routes[host] = append(c.routes[host], &routes[i])
 	}
-	for _, of := range c.routes {
-		slices.SortStableFunc(of, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
+	for _, routesOfHost := range c.routes {
+		slices.SortStableFunc(routesOfHost, func(a, b *Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for i := range services {
 		c.services[services[i].Name] = &services[i]
@@ -47,7 +47,7 @@
 	return c
 }
 
-// Origins returns the services that hand out weights.
+// Origins returns the services that serve weights, sorted by name.
 func (c *Config) Origins() []*Service {
 	var origins []*Service
 	for _, service := range c.services {
@@ -59,15 +59,15 @@
 	return origins
 }
 
-// Route returns the route of a host with the longest prefix of a path, or nil.
+// Route returns the route of a host with the longest prefix that matches a path, or nil.
 func (c *Config) Route(host, path string) *Route {
 	host = strings.ToLower(host)
-	of, ok := c.routes[host]
+	routes, ok := c.routes[host]
 	if !ok {
 		name, _, _ := strings.Cut(host, ":")
-		of = c.routes[name]
+		routes = c.routes[name]
 	}
-	for _, route := range of {
+	for _, route := range routes {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -76,7 +76,7 @@
 }
 
 // Routes returns the number of routes.
-func (c *Config) Routes() int { return c.count }
+func (c *Config) Routes() int { return c.routeCount }
 
 // Service returns a service by its name, or nil.
 func (c *Config) Service(name string) *Service { return c.services[name] }
--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,5 +1,4 @@
-// Package contract holds what operators have agreed for callers: routes,
-// services with their engines, teams with their keys, limits, the versions of
-// models that should run, and the servers on which all of this runs. Values are
-// immutable; adapters fill them in, daemons decide by them.
+// Package contract holds the configuration that operators declare (routes,
+// services, engines, teams, limits, target versions of models) and the listed
+// servers. Values are immutable; adapters of the platform create them.
 package contract
--- a/contract/route.go
+++ b/contract/route.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be repeated.
 type Kind string
 
 // The kinds of a route.
@@ -11,31 +11,31 @@
 	KindSafe Kind = "safe"
 	// KindOnce requests run at most once.
 	KindOnce Kind = "once"
-	// KindStream requests are answered by a series of events; they run at most once unless they may be resumed.
+	// KindStream requests get an event stream; they run at most once unless the stream may be resumed.
 	KindStream Kind = "stream"
 )
 
-// Share is a part of a route's requests, by weight, that goes to a service.
+// Share is the part of a route's requests, by weight, that goes to a service.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route says how the requests of a host under a path prefix are handled.
+// Route configures the requests of a host under a path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// TimeLimit is the longest time that a request is held, Goal the time in which its answer earns all it can.
+	// TimeLimit bounds the time of a request; Goal is the time within which its response has full value.
 	TimeLimit time.Duration
 	Goal      time.Duration
-	// PauseGoal is the longest pause between the events of a stream in time.
+	// PauseGoal is the longest pause between events with which a stream is on time.
 	PauseGoal time.Duration
 	// Priority is the route's rank, 0 the highest.
 	Priority int
 	Split    []Share
-	// Attempts is the most servers that one request may go to.
+	// Attempts is the most servers to which one request may be sent.
 	Attempts  int
 	Public    bool
 	Resumable bool
@@ -46,13 +46,13 @@
 	return r.Kind == KindSafe || r.Kind == KindStream && r.Resumable
 }
 
-// Service returns the service for a request; turn, from 0 to below 1, is its place among the weights.
-func (r *Route) Service(turn float64) string {
+// Service returns the service for a request; fraction, in [0, 1), selects it by the cumulative weights.
+func (r *Route) Service(fraction float64) string {
 	total := 0
 	for _, share := range r.Split {
 		total += share.Weight
 	}
-	left := turn * float64(total)
+	left := fraction * float64(total)
 	for _, share := range r.Split {
 		if left -= float64(share.Weight); left < 0 {
 			return share.Service
--- a/contract/server.go
+++ b/contract/server.go
@@ -11,12 +11,12 @@
 	Version Version
 }
 
-// Server is one upstream on the platform's list.
+// Server is an upstream on the platform's list.
 type Server struct {
-	// ID names the server; it may start again under it.
+	// ID identifies the server, also after a restart.
 	ID string
-	// Born is when this life of the server began, in Unix milliseconds by its own clock; 0 where it is not told. Two lives
-	// differ in it, and nothing else orders them: clocks step.
+	// Born is the start time of the server's incarnation, in Unix milliseconds by its own clock; 0 if unknown. Incarnations differ in it,
+	// but it does not order them, since clocks may be set back.
 	Born    int64
 	Service string
 	// Address is its host and port.
@@ -24,11 +24,11 @@
 	Site    string
 	Slots   int
 	Leaving bool
-	// Loaded holds the versions of the models that it runs.
+	// Loaded maps the models that the server runs to their versions.
 	Loaded map[string]Version
 }
 
-// Runs returns the version of a model that the server runs, 0 for none; an empty name stands for any model.
+// Runs returns the version of a model that the server runs, 0 if none; an empty name matches any model.
 func (s *Server) Runs(model string) Version {
 	if model != "" {
 		return s.Loaded[model]
@@ -39,19 +39,19 @@
 	return 0
 }
 
-// Equal reports whether two entries of the list tell the same.
+// Equal reports whether two entries of the list are equal in all fields.
 func (s Server) Equal(other Server) bool {
 	return s.ID == other.ID && s.Born == other.Born && s.Service == other.Service && s.Address == other.Address && s.Site == other.Site &&
 		s.Slots == other.Slots && s.Leaving == other.Leaving && maps.Equal(s.Loaded, other.Loaded)
 }
 
-// IsAnotherLife reports whether two births are of different lives of a server; one that is not told fits any.
+// IsAnotherLife reports whether two start times are of different incarnations of a server; an unknown one matches any.
 func IsAnotherLife(born, other int64) bool {
 	return born != 0 && other != 0 && born != other
 }
 
-// Changes returns what a list of servers by id tells that an older one did not: those that are new or differ, and the ids
-// of those that are gone, both in no order.
+// Changes returns the difference of two lists of servers by ID: the servers that are new or differ, and the IDs of those that are
+// gone, both in no order.
 func Changes(old, list map[string]Server) (present []Server, gone []string) {
 	for id, server := range list {
 		if known, ok := old[id]; !ok || !known.Equal(server) {
--- a/contract/server_test.go
+++ b/contract/server_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestServersThatDifferAreNotEqual proves that Equal looks at each field: a change of one that it passed over would never be told.
-func TestServersThatDifferAreNotEqual(t *testing.T) {
+// TestServerEqualComparesAllFields guards against a field that Equal ignores, whose changes would never be sent.
+func TestServerEqualComparesAllFields(t *testing.T) {
 	server := func() Server {
 		return Server{ID: "a", Born: 1, Service: "s", Address: "h:1", Site: "z", Slots: 2, Leaving: true, Loaded: map[string]Version{"m": 1}}
 	}
@@ -17,7 +17,7 @@
 		changed := server()
 		reflect.ValueOf(&changed).Elem().Field(i).SetZero()
 		if server().Equal(changed) {
-			t.Errorf("a change of %s is not seen", reflect.TypeFor[Server]().Field(i).Name)
+			t.Errorf("a change of %s is ignored", reflect.TypeFor[Server]().Field(i).Name)
 		}
 	}
 }
--- a/contract/service.go
+++ b/contract/service.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Service is a group of servers that answer alike.
+// Service is a group of interchangeable servers.
 type Service struct {
 	Name string
-	// MaxConns is how many connections a server takes from all callers together.
+	// MaxConns is the most connections of a server from all callers together.
 	MaxConns int
-	// Engine describes the model engines of the service; nil for a plain service.
+	// Engine describes the service's model engines; nil for a plain service.
 	Engine *Engine
-	// Origin is the address at which the service hands out weights; empty for all others.
+	// Origin is the address at which the service serves weights; empty for all other services.
 	Origin string
-	// LinkRate is the origin's link in bytes a second.
+	// LinkRate is the bandwidth of the origin's link in bytes a second.
 	LinkRate float64
 }
 
-// Engine holds the figures of a model engine.
+// Engine holds the performance parameters of a model engine.
 type Engine struct {
 	Slots  int
 	Models []Model
-	// Stride is how many steps a pass with writers plays.
+	// Stride is the number of decode steps in a pass while requests are decoding.
 	Stride int
-	// Chunk is how many prompt tokens a step reads at most.
+	// Chunk is the most prompt tokens that are prefilled in a pass.
 	Chunk int
-	// Step is the time of a token step, PerSequence what each writer adds, PerContext what 1,000 tokens of context add.
+	// Step is the base time of a decode step, PerSequence the extra time per decoding request, PerContext that per 1,000 tokens of context.
 	Step        time.Duration
 	PerSequence time.Duration
 	PerContext  time.Duration
-	// ReadRate is how many prompt tokens are read in a second, PerPairs what a million pairs of tokens add.
+	// ReadRate is the prefill rate in tokens a second, PerPairs the extra time per million pairs of prompt tokens.
 	ReadRate float64
 	PerPairs time.Duration
-	// UsualPrompt and UsualAnswer are the mean tokens of a request.
+	// UsualPrompt and UsualAnswer are the mean numbers of tokens of a request's prompt and answer.
 	UsualPrompt int
 	UsualAnswer int
 }
 
-// Model is a model that an engine may hold.
+// Model is a model that an engine can load.
 type Model struct {
 	Name string
-	// Load is how long an engine takes to load it.
+	// Load is how long an engine takes to load the model.
 	Load time.Duration
 }
 
@@ -50,7 +50,7 @@
 	return e.Models[0], true
 }
 
-// Team is a group of callers with its keys; Priority goes before a route's when HasPriority.
+// Team is a group of callers with its keys; Priority overrides that of routes if HasPriority is set.
 type Team struct {
 	Name        string
 	Keys        []string
@@ -58,7 +58,7 @@
 	HasPriority bool
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of requests, the time for sending a header and the idle time of connections.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
