--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,2 +1,3 @@
-// Package membership follows the platform's lagging list of live and leaving boxes.
+// Package membership polls the platform's list of live and leaving machines,
+// which may lag behind.
 package membership
--- a/membership/member.go
+++ b/membership/member.go
@@ -1,15 +1,15 @@
 package membership
 
-// Role says what a machine of the fleet runs.
+// Role is the daemon that a machine runs.
 type Role string
 
-// The roles on the live list.
+// The roles of members.
 const (
 	RoleBox   Role = "box"
 	RoleEntry Role = "entry"
 )
 
-// Member is one machine on the platform's list of live and leaving boxes.
+// Member is one machine on the platform's list.
 type Member struct {
 	ID          string `json:"id"`
 	Role        Role   `json:"role"`
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -10,15 +10,15 @@
 	"github.com/apex/log"
 )
 
-// DefaultInterval is how often the list is read.
+// DefaultInterval is the default polling interval.
 const DefaultInterval = 2 * time.Second
 
-// List is the platform's list.
+// List reads the platform's list.
 type List interface {
 	Members(ctx context.Context) ([]Member, error)
 }
 
-// Watcher keeps the members of one fleet as last read; while the list is out the last reading stands.
+// Watcher keeps the members of one fleet as last read, also while the list is unavailable.
 type Watcher struct {
 	list     List
 	fleet    string
@@ -30,7 +30,7 @@
 	changed chan struct{}
 }
 
-// New returns a watcher that has read nothing yet; an interval of 0 takes the default.
+// New returns a watcher without members; an interval of 0 means the default.
 func New(list List, fleet string, interval time.Duration) *Watcher {
 	if interval == 0 {
 		interval = DefaultInterval
@@ -49,7 +49,7 @@
 	return boxes
 }
 
-// Changed returns a channel that is closed when the list next differs.
+// Changed returns a channel that is closed at the next change of the members.
 func (w *Watcher) Changed() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,14 +63,14 @@
 	return w.members
 }
 
-// Read reports whether the list has been read at all.
+// Read reports whether the list has been read.
 func (w *Watcher) Read() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.read
 }
 
-// Serve reads the list again and again until ctx ends.
+// Serve polls the list until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
 	for {
 		w.refresh(ctx)
