--- /dev/null
+++ b/view/apply.go
@@ -0,0 +1,215 @@
+package view
+
+import (
+	"slices"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/coralstair/coralstair/contract"
+)
+
+// noteUnreachable records a failed call to the store; first marks the first failure in a row on this feed.
+func (v *View) noteUnreachable(first bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.lastFailure = v.now()
+	if first {
+		v.lostFeeds++
+		v.notify()
+	}
+}
+
+// noteReachable records that the store responds on a feed again.
+func (v *View) noteReachable() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.lostFeeds--
+	v.notify()
+}
+
+// applyDeclared applies what is newer and reports whether anything was; first marks the first read.
+func (v *View) applyDeclared(declared Declared, first bool) bool {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.observeEpoch(declared.Cursor)
+	for _, fault := range declared.Faults {
+		configFaults.Inc()
+		v.opts.Log.WithField("cause", fault.Error()).Error("view: what was declared cannot be read; the last known stays")
+	}
+	changed := v.applyConfig(declared.Config)
+	for _, target := range declared.Targets {
+		at := v.now()
+		if first && v.config != nil && v.targets[target.Model] == nil {
+			// The target's age is unknown; half the bound minimizes the error.
+			at = at.Add(-v.opts.VersionBound / 2)
+		}
+		changed = v.addTarget(target, at) || changed
+	}
+	if changed {
+		v.notify()
+	}
+	return changed
+}
+
+// applyConfig applies a configuration if it is newer than the known one, and reports whether it was; mu is held.
+func (v *View) applyConfig(cfg *contract.Config) bool {
+	if cfg == nil || v.config != nil && cfg.Revision <= v.config.Revision {
+		return false
+	}
+	if v.config == nil {
+		v.configuredAt = v.now()
+	}
+	v.config = cfg
+	configRevision.Set(float64(cfg.Revision))
+	v.opts.Log.WithFields(log.Fields{"revision": int64(cfg.Revision), "routes": cfg.Routes()}).Info("view: configuration taken")
+	return true
+}
+
+// addTarget adds a target version that was named at a time, and reports whether it is new; mu is held.
+func (v *View) addTarget(target contract.Target, at time.Time) bool {
+	h := v.targets[target.Model]
+	if h == nil {
+		h = &history{}
+		v.targets[target.Model] = h
+	}
+	if !h.add(target.Version, at) {
+		return false
+	}
+	v.opts.Log.WithFields(log.Fields{"model": target.Model, "version": int64(target.Version)}).Info("view: version named")
+	return true
+}
+
+// applyServers applies changed entries, or all of them if full. The first full list of an epoch may be older than what is known.
+func (v *View) applyServers(servers Servers, full bool) {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	now := v.now()
+	for _, fault := range servers.Faults {
+		listFaults.Inc()
+		v.opts.Log.WithField("cause", fault.Error()).Error("view: an entry of the list names no server to use")
+	}
+	v.observeEpoch(servers.Cursor)
+	if full {
+		servers.Present = v.filterFullList(servers.Present, servers.Cursor.Epoch > v.listEpoch && v.listKnown, now)
+	}
+	v.listEpoch = max(v.listEpoch, servers.Cursor.Epoch)
+	present := make(map[string]bool, len(servers.Present))
+	for _, server := range append(v.confirmRelisted(now), servers.Present...) {
+		present[server.ID] = true
+		delete(v.missing, server.ID)
+		delete(v.relisted, server.ID)
+		v.logServer(server)
+		v.markReplaced(server)
+		v.putServer(server)
+	}
+	for _, id := range servers.Unread {
+		v.removeServer(id)
+	}
+	for _, id := range servers.Gone {
+		delete(v.relisted, id)
+		v.markMissing(id, now)
+	}
+	if full {
+		for id := range v.servers {
+			if !present[id] {
+				v.markMissing(id, now)
+			}
+		}
+	}
+	v.removeExpired(now)
+	v.listKnown = true
+	v.notify()
+}
+
+// removeExpired removes the servers that have been missing for too long; mu is held.
+func (v *View) removeExpired(now time.Time) {
+	for id, gap := range v.missing {
+		if now.After(gap.until) {
+			v.recordDeparture(id, now)
+			v.removeServer(id)
+		}
+	}
+}
+
+// removeServer removes a server from all maps; mu is held.
+func (v *View) removeServer(id string) {
+	v.unindexAddress(id)
+	delete(v.missing, id)
+	delete(v.servers, id)
+	delete(v.replacedBy, id)
+}
+
+// putServer stores a listed server and indexes its address; mu is held.
+func (v *View) putServer(server contract.Server) {
+	if old, known := v.servers[server.ID]; !known || old.Address != server.Address {
+		v.unindexAddress(server.ID)
+		v.idsByAddress[server.Address] = append(v.idsByAddress[server.Address], server.ID)
+	}
+	v.servers[server.ID] = server
+}
+
+// unindexAddress removes a server from the index of addresses; mu is held.
+func (v *View) unindexAddress(id string) {
+	address := v.servers[id].Address
+	v.idsByAddress[address] = slices.DeleteFunc(v.idsByAddress[address], func(other string) bool { return other == id })
+	if len(v.idsByAddress[address]) == 0 {
+		delete(v.idsByAddress, address)
+	}
+}
+
+// markReplaced marks other servers at the address of a server that is new, restarted or moved as replaced: they have ended, though
+// their entries expire only after several missed heartbeats. mu is held.
+func (v *View) markReplaced(server contract.Server) {
+	old, known := v.servers[server.ID]
+	if server.Address == "" || known && old.Address == server.Address && !contract.IsAnotherLife(old.Born, server.Born) {
+		return
+	}
+	delete(v.replacedBy, server.ID)
+	for _, id := range v.idsByAddress[server.Address] {
+		if id != server.ID {
+			v.replacedBy[id] = server.ID
+		}
+	}
+}
+
+// isReplaced reports whether another listed server, of a declared service, has taken over the server's address; mu is held.
+func (v *View) isReplaced(id string) bool {
+	successor, listed := v.servers[v.replacedBy[id]]
+	if !listed || v.config != nil && v.config.Service(successor.Service) == nil {
+		return false
+	}
+	_, missing := v.missing[successor.ID]
+	return !missing
+}
+
+// logServer logs a server whose entry is new or has changed; mu is held.
+func (v *View) logServer(server contract.Server) {
+	old, known := v.servers[server.ID]
+	if known && old.Leaving == server.Leaving && old.Address == server.Address && old.Born == server.Born {
+		return
+	}
+	v.opts.Log.WithFields(log.Fields{
+		"server": server.ID, "address": server.Address, "service": server.Service, "leaving": server.Leaving, "born": server.Born,
+	}).Info("view: server listed")
+}
+
+// markMissing starts the grace period of a server that is no longer listed; mu is held.
+func (v *View) markMissing(id string, now time.Time) {
+	if _, known := v.servers[id]; !known {
+		return
+	}
+	if _, already := v.missing[id]; already {
+		return
+	}
+	grace := missingGrace
+	if v.opts.Drain > 0 {
+		grace = max(min(grace, v.opts.Drain-drainMargin), 0)
+	}
+	if now.Sub(v.lastFailure) < outageWindow {
+		grace = outageGrace
+	}
+	v.missing[id] = absence{since: now, until: now.Add(grace)}
+	v.opts.Log.WithFields(log.Fields{"server": id, "store_away_ms": now.Sub(v.lastFailure).Milliseconds()}).
+		Info("view: server no longer listed")
+}
