--- a/forward/answer.go
+++ b/forward/answer.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// answer is a server's whole answer.
-type answer struct {
+// response is a server's complete, buffered response.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// deliver passes the answer on as it is; last says that the connection closes after it.
-func (a *answer) deliver(w http.ResponseWriter, last bool) {
+// writeTo writes the response to the caller; last announces that the connection closes after it.
+func (r *response) writeTo(w http.ResponseWriter, last bool) {
 	header := w.Header()
-	copyHead(header, a.header, last)
-	if a.status != http.StatusNoContent && a.status != http.StatusNotModified {
-		header.Set("Content-Length", strconv.Itoa(len(a.body)))
+	copyHeader(header, r.header, last)
+	if r.status != http.StatusNoContent && r.status != http.StatusNotModified {
+		header.Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
-	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body)
+	w.WriteHeader(r.status)
+	_, _ = w.Write(r.body)
 }
 
-// copyHead copies a server's header without what concerns its connection.
-func copyHead(to, from http.Header, last bool) {
+// copyHeader copies a server's header without the hop-by-hop fields.
+func copyHeader(to, from http.Header, last bool) {
 	from = from.Clone()
 	dropHopHeaders(from)
 	for name, values := range from {
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -16,96 +16,96 @@
 )
 
 const (
-	// maxWhole is the longest answer that is checked as a whole before it is passed on.
-	maxWhole = 16 << 20
-	// silenceFactor times what was predicted, and silenceRest more, is how long a server may be silent before a request
-	// that may run again is sent to another.
+	// maxComplete bounds, in bytes, a response that is buffered and checked before it is relayed.
+	maxComplete = 16 << 20
+	// A repeatable request is hedged after a silence of silenceFactor times the predicted time to the first event
+	// plus silenceSlack, at least minSilence.
 	silenceFactor = 2
-	silenceRest   = 700 * time.Millisecond
+	silenceSlack  = 700 * time.Millisecond
 	minSilence    = 900 * time.Millisecond
 )
 
-const contentEvents = "text/event-stream"
+const eventStreamType = "text/event-stream"
 
-// attempt is one send of a call to a server.
+// attempt is one try of a call at a server.
 type attempt struct {
-	call   *call
-	choice choice
-	ticket *ticket
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	quiet  *time.Timer
-	// bound is when the bound on the server's version comes; nil when there is none.
-	bound *time.Timer
-	// fellSilent says that the server was silent for too long; the call's mutex guards it.
-	fellSilent bool
-	// listens says that something has to come from the server in time.
-	listens atomic.Bool
-	rank    int
-	// hedges is the attempt that goes on until this one's server has begun to answer; after is the last event that the caller
-	// had when this one was sent.
-	hedges *attempt
-	after  string
-	// fresh says that it takes a new connection.
-	fresh  bool
-	conn   *conn
-	before int64
-	resp   *http.Response
-	reply  Reply
-	// got is a whole answer; events are what comes of a stream, event is the first that the caller does not have, and ended
-	// says that there is none.
-	got    *answer
-	events *bufio.Reader
-	event  []byte
-	ended  bool
+	call         *call
+	choice       choice
+	ticket       *ticket
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	silenceTimer *time.Timer
+	// versionTimer fires before the deadline of the server's version; nil without a deadline.
+	versionTimer *time.Timer
+	// wasSilent is set once the server has exceeded its silence timeout; guarded by call.mu.
+	wasSilent bool
+	// awaitsData is set while the silence timeout applies.
+	awaitsData atomic.Bool
+	priority   int
+	// primary is the attempt this one may take over from. lastEvent is the id of the last event the caller had when
+	// this attempt was sent.
+	primary   *attempt
+	lastEvent string
+	// newConn forces a new connection.
+	newConn       bool
+	conn          *conn
+	writtenBefore int64
+	resp          *http.Response
+	reply         Reply
+	// complete is a whole response. For a stream, events is the reader, nextEvent the first event the caller lacks,
+	// and streamEnded is set when there is none.
+	complete    *response
+	events      *bufio.Reader
+	nextEvent   []byte
+	streamEnded bool
 }
 
-// begin sends the request and returns when the server has begun to answer: with a whole answer, or with an event that the
-// caller does not have.
-func (a *attempt) begin() (step, error) {
+// exchange sends the request and returns once there is a complete response or, for a stream, the first event that the
+// caller lacks.
+func (a *attempt) exchange() (step, error) {
 	send := Send{}
-	a.after = a.call.ask.LastEvent
-	p := a.passage()
-	if p != nil {
-		a.after = p.hold(a)
-		send = Send{LastEvent: a.after, Version: p.version}
+	a.lastEvent = a.call.ask.LastEvent
+	s := a.callerStream()
+	if s != nil {
+		a.lastEvent = s.startBuffering(a)
+		send = Send{LastEvent: a.lastEvent, Version: s.version}
 	}
-	if now, live := a.live(); !live || now != p {
-		// Another one has begun before this one could: nothing is sent, and nothing kept back for it.
+	if current, live := a.state(); !live || current != s {
+		// Another attempt has won meanwhile: nothing is sent, and no events are buffered.
 		return stepNotRun, cmp.Or(context.Cause(a.ctx), context.Canceled)
 	}
 	if result, err := a.send(send); err != nil {
 		return result, err
 	}
 	switch {
-	case a.streams():
-		return a.firstEvent()
-	case p != nil:
-		return stepLost, &BrokenAnswerError{Reason: "the rest of the stream is refused: " + a.resp.Status}
+	case a.isStream():
+		return a.readFirstEvent()
+	case s != nil:
+		return stepLost, &InvalidResponseError{Reason: "resume refused: " + a.resp.Status}
 	default:
-		return a.whole()
+		return a.readComplete()
 	}
 }
 
-// passage returns the answer that is on its way to the caller already.
-func (a *attempt) passage() *passage {
+// callerStream returns the stream being relayed to the caller; nil before it has begun.
+func (a *attempt) callerStream() *callerStream {
 	a.call.mu.Lock()
 	defer a.call.mu.Unlock()
-	return a.call.passage
+	return a.call.stream
 }
 
-// silence returns how long the server may be silent, by what was predicted of its first event.
-func (ch choice) silence() time.Duration {
-	return max(silenceFactor*ch.first+silenceRest, minSilence)
+// silenceTimeout returns how long the server may stay silent, given its predicted time to the first event.
+func (ch choice) silenceTimeout() time.Duration {
+	return max(silenceFactor*ch.first+silenceSlack, minSilence)
 }
 
-// finish ends the attempt; an answer that was not read to its end closes the connection.
-func (a *attempt) finish() {
-	if a.quiet != nil {
-		a.quiet.Stop()
+// close releases the attempt's resources. Closing a partly read body also closes the connection.
+func (a *attempt) close() {
+	if a.silenceTimer != nil {
+		a.silenceTimer.Stop()
 	}
-	if a.bound != nil {
-		a.bound.Stop()
+	if a.versionTimer != nil {
+		a.versionTimer.Stop()
 	}
 	a.ticket.end()
 	if a.resp != nil {
@@ -117,18 +117,18 @@
 	}
 }
 
-// spoil closes the connection: what comes on it is not to be trusted.
-func (a *attempt) spoil() {
+// closeConn closes the connection, as further data on it can't be trusted.
+func (a *attempt) closeConn() {
 	if a.conn != nil {
 		_ = a.conn.Close()
 	}
 }
 
-// send sends the request and takes the head of the answer.
+// send sends the request and checks the response header.
 func (a *attempt) send(extra Send) (step, error) {
 	req := a.request(extra)
 	transport := a.call.entry.transport
-	if a.fresh {
+	if a.newConn {
 		transport = a.call.entry.fresh
 	}
 	resp, err := transport.RoundTrip(req)
@@ -137,18 +137,18 @@
 	}
 	a.resp = resp
 	a.reply = a.call.entry.cfg.Wire.Reply(resp)
-	if err := a.checkHead(); err != nil {
-		a.spoil()
+	if err := a.checkHeader(); err != nil {
+		a.closeConn()
 		return stepLost, err
 	}
-	a.notePushback()
+	a.applyPushback()
 	if a.reply.NotRun {
-		return a.notRun()
+		return a.handleNotRun()
 	}
 	return stepDone, nil
 }
 
-// sendFailed tells a request that cannot have reached the server from one that may have.
+// sendFailed returns resultNotRun for a request that can't have reached the server, resultLost for one that may have.
 func (a *attempt) sendFailed(err error) (step, error) {
 	if cause := context.Cause(a.ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		err = cause
@@ -160,123 +160,124 @@
 		}
 		return stepNotRun, err
 	}
-	if a.conn.written.Load() == a.before {
-		a.spoil()
+	if a.conn.written.Load() == a.writtenBefore {
+		a.closeConn()
 		return stepNotRun, err
 	}
 	return stepLost, err
 }
 
-// notRun takes a server's word that it did not run the request.
-func (a *attempt) notRun() (step, error) {
+// handleNotRun handles a response that says that the server did not run the request.
+func (a *attempt) handleNotRun() (step, error) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(a.resp.Body, connBuffer))
 	if a.resp.StatusCode == http.StatusMisdirectedRequest {
 		a.choice.up.deny(clock.Now())
 	}
-	return stepNotRun, &BrokenAnswerError{Reason: a.resp.Status + ", not run"}
+	return stepNotRun, &InvalidResponseError{Reason: a.resp.Status + ", not run"}
 }
 
-// checkHead checks that the answer is one to this request.
-func (a *attempt) checkHead() error {
+// checkHeader checks that the response belongs to this request.
+func (a *attempt) checkHeader() error {
 	switch {
 	case a.call.ask.ID != "" && a.reply.ID != "" && a.reply.ID != a.call.ask.ID:
-		return &BrokenAnswerError{Reason: "it is one to another request"}
+		return &InvalidResponseError{Reason: "request id does not match"}
 	case a.reply.NotRun:
 		return nil
 	case a.call.ask.ID != "" && a.reply.ID == "":
-		return &BrokenAnswerError{Reason: "it does not name its request"}
+		return &InvalidResponseError{Reason: "request id is missing"}
 	case a.resp.StatusCode/100 == 2 && !a.reply.Sealed:
-		return &BrokenAnswerError{Reason: "it has no seal"}
+		return &InvalidResponseError{Reason: "seal is missing"}
 	case a.resp.Header.Get("Content-Encoding") != "":
-		return &BrokenAnswerError{Reason: "it is encoded"}
+		return &InvalidResponseError{Reason: "unexpected Content-Encoding"}
 	case a.resp.StatusCode < 200:
-		return &BrokenAnswerError{Reason: "status " + a.resp.Status}
+		return &InvalidResponseError{Reason: "unexpected status " + a.resp.Status}
 	}
 	return nil
 }
 
-// streams reports whether the answer is a series of events.
-func (a *attempt) streams() bool {
+// isStream reports whether the response is an event stream.
+func (a *attempt) isStream() bool {
 	return a.resp.StatusCode == http.StatusOK && a.call.route.Kind == contract.KindStream &&
-		strings.HasPrefix(a.resp.Header.Get("Content-Type"), contentEvents)
+		strings.HasPrefix(a.resp.Header.Get("Content-Type"), eventStreamType)
 }
 
-// whole reads the answer to its end before any of it is passed on; a failure of the server's own is kept.
-func (a *attempt) whole() (step, error) {
-	body, err := io.ReadAll(io.LimitReader(&progressReader{a: a, r: a.resp.Body}, maxWhole+1))
-	if err == nil && len(body) > maxWhole {
-		err = &BrokenAnswerError{Reason: "it is too long"}
+// readComplete reads the whole response before any of it is relayed. A 5xx response is kept in case no other server
+// answers.
+func (a *attempt) readComplete() (step, error) {
+	body, err := io.ReadAll(io.LimitReader(&progressReader{a: a, r: a.resp.Body}, maxComplete+1))
+	if err == nil && len(body) > maxComplete {
+		err = &InvalidResponseError{Reason: "body is too long"}
 	}
 	if err != nil {
-		return stepLost, a.broken(err)
+		return stepLost, a.abort(err)
 	}
-	a.heard()
-	a.got = &answer{status: a.resp.StatusCode, header: a.resp.Header, body: body}
-	if a.got.status >= http.StatusInternalServerError {
-		return stepFailed, &BrokenAnswerError{Reason: a.resp.Status}
+	a.stopSilenceTimer()
+	a.complete = &response{status: a.resp.StatusCode, header: a.resp.Header, body: body}
+	if a.complete.status >= http.StatusInternalServerError {
+		return stepFailed, &InvalidResponseError{Reason: a.resp.Status}
 	}
 	a.ticket.begun(clock.Now())
 	return stepDone, nil
 }
 
-// progressReader reads an answer whose server is silent only while nothing comes: one that is long may take longer to come than a
-// server may be silent, 15 MB 0.9 s on a busy machine.
+// progressReader restarts the silence timeout whenever data arrives, so that a long response isn't taken for a silent
+// server.
 type progressReader struct {
 	a *attempt
 	r io.Reader
 }
 
-// Read reads what has come and grants the rest as much time again.
+// Read reads from the body and restarts the silence timeout.
 func (p *progressReader) Read(b []byte) (int, error) {
 	n, err := p.r.Read(b)
 	if n > 0 {
-		p.a.listen(p.a.silenceTimeout())
+		p.a.startSilenceTimer(p.a.responseTimeout())
 	}
 	return n, err
 }
 
-// firstEvent reads a stream until an event that the caller does not have, or its end.
-func (a *attempt) firstEvent() (step, error) {
+// readFirstEvent reads a stream up to the first event that the caller lacks, or to its end.
+func (a *attempt) readFirstEvent() (step, error) {
 	a.events = bufio.NewReaderSize(a.resp.Body, connBuffer)
 	for {
-		event, err := readEvent(a.events, a.event[:0])
+		event, err := readEvent(a.events, a.nextEvent[:0])
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			a.ended = true
+			a.streamEnded = true
 			return stepDone, nil
 		}
 		if err != nil {
-			return stepLost, a.broken(err)
+			return stepLost, a.abort(err)
 		}
-		if a.event = event; isOld(idOf(event), a.after) {
+		if a.nextEvent = event; alreadySent(eventID(event), a.lastEvent) {
 			continue
 		}
-		if version, changes := a.call.entry.cfg.Wire.EventVersion(event); changes && version != a.expected() {
-			a.spoil()
-			return stepLost, &BrokenAnswerError{Reason: "its version changes"}
+		if version, changes := a.call.entry.cfg.Wire.EventVersion(event); changes && version != a.expectedVersion() {
+			a.closeConn()
+			return stepLost, &InvalidResponseError{Reason: "version changes within the stream"}
 		}
-		a.heard()
+		a.stopSilenceTimer()
 		a.ticket.begun(clock.Now())
 		return stepDone, nil
 	}
 }
 
-// expected returns the version of all events: that of the answer on its way, or the one that the server says.
-func (a *attempt) expected() contract.Version {
-	if p := a.passage(); p != nil {
-		return p.version
+// expectedVersion returns the version that every event must have: the stream's, or else the server's.
+func (a *attempt) expectedVersion() contract.Version {
+	if s := a.callerStream(); s != nil {
+		return s.version
 	}
 	return a.version()
 }
 
-// broken closes the connection of an answer that broke off, and returns why it did.
-func (a *attempt) broken(err error) error {
-	a.spoil()
+// abort closes the connection of an incomplete response and returns the cause.
+func (a *attempt) abort(err error) error {
+	a.closeConn()
 	if cause := context.Cause(a.ctx); cause != nil {
 		return cause
 	}
-	var torn *BrokenAnswerError
-	if errors.As(err, &torn) {
+	var invalid *InvalidResponseError
+	if errors.As(err, &invalid) {
 		return err
 	}
-	return &BrokenAnswerError{Reason: err.Error()}
+	return &InvalidResponseError{Reason: err.Error()}
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// answerMargin is how much earlier than the caller's time a server has to answer.
-	answerMargin = 20 * time.Millisecond
-	// notRunTries is how many more servers than its attempts a request may be offered when each says that it did not run.
-	notRunTries = 1
-	// maxRefusals is how many servers may refuse a request that another one runs, or has run without an answer, until no more
-	// are asked: each refusal is taken from the budget of second sends.
+	// responseMargin is how long before the caller's deadline a server has to respond.
+	responseMargin = 20 * time.Millisecond
+	// notRunRetries is how many servers beyond the route's attempts are tried while every server refuses to run the
+	// request.
+	notRunRetries = 1
+	// maxRefusals bounds refusals of a request that another server runs or may have run: each one draws on the retry
+	// budget.
 	maxRefusals = 4
-	// mostUrgent is the rank that servers let in first.
-	mostUrgent = 0
+	// topPriority is the priority that servers admit first.
+	topPriority = 0
 )
 
-// call is one caller's request on its way.
+// call is one caller's request.
 type call struct {
 	entry   *Entry
 	w       http.ResponseWriter
@@ -43,126 +44,125 @@
 	started time.Time
 	ends    time.Time
 	config  contract.Revision
-	// waited is how long ago the request was tried first, as far as the entry can tell: 0 for a first try.
+	// sinceFirst is the time since the caller's first try as far as the entry knows; 0 on a first try.
 	waited time.Duration
 
-	// mu guards what follows: attempts end, and are asked beside others, while the call's own goroutine waits or passes on.
+	// mu guards the fields below: attempts run in goroutines of their own, next to the call's.
 	mu sync.Mutex
-	// winner is the attempt whose server has begun to answer, asked are those whose servers have not, failed those that ended
-	// without an answer and that the call's goroutine has not looked at yet.
-	winner *attempt
-	asked  []*attempt
-	failed []failure
-	over   bool
-	// changed tells the call's goroutine that one of these did.
-	changed chan struct{}
-	// passage is the answer on its way to the caller, nil before it has begun.
-	passage *passage
-	// urgent says that the request was in progress already: its caller waits in the middle of an answer, so servers let it in
-	// before others.
+	// winner is the attempt whose server has begun to respond. pending are those without a response yet, failures
+	// those that failed and that the call's goroutine has not handled yet.
+	winner   *attempt
+	pending  []*attempt
+	failures []failure
+	done     bool
+	// wake signals the call's goroutine that one of these has changed.
+	wake chan struct{}
+	// stream is being relayed to the caller; nil before it has begun.
+	stream *callerStream
+	// urgent requests were already in progress at another server: servers admit them before others.
 	urgent bool
 
-	// silence says that a server was silent: open connections may go silent all at once while new ones work, so what is sent from
-	// then on takes new ones (of 64 requests cut on a day with silent connections 47 had met two).
-	silence bool
+	// useNewConns is set after a silent server: all open connections may be dead while new ones work, so later
+	// attempts open new ones.
+	useNewConns bool
 
-	// offered counts the servers the request was sent to and that may have run it, refused those that said that they did not.
-	offered int
-	refused int
-	// not are the servers that are not asked again, refusals those of them that said that they did not run it, and when.
-	not      map[string]bool
-	refusals map[string]time.Time
-	// unknown says that it may have run without an answer.
-	unknown bool
-	last    choice
-	first   time.Duration
-	story   []string
+	// sends counts servers that may have run the request, refusalCount those that said that they did not.
+	sends        int
+	refusalCount int
+	// excluded are servers that are not tried again; refusedAt is when those of them that did not run the request
+	// refused it.
+	not       map[string]bool
+	refusedAt map[string]time.Time
+	// mayHaveRun is set once an attempt was lost without a response.
+	mayHaveRun      bool
+	last            choice
+	firstEventAfter time.Duration
+	tries           []string
 
-	// print tells the request when it comes again; it is made when it is needed first. lost says that a server broke off under it.
-	print     quarantine.Fingerprint
-	printOnce sync.Once
-	lost      bool
+	// fp is computed on first use. connLost is set once a connection broke during the request.
+	fp       quarantine.Fingerprint
+	fpOnce   sync.Once
+	connLost bool
 }
 
-// failure is how an attempt ended without an answer.
+// failure is how an attempt without a usable response ended.
 type failure struct {
-	kept   *answer
-	result step
-	err    error
+	response *response
+	result   step
+	err      error
 }
 
-// step is what became of one attempt.
+// attemptResult is how one attempt ended.
 type step int
 
 const (
-	// stepDone means that the caller has its answer, whole or cut.
+	// resultDone means that the caller has its response, complete or cut.
 	stepDone step = iota
-	// stepNotRun means that the server did not run it.
+	// resultNotRun means that the server did not run the request.
 	stepNotRun
-	// stepLost means that it may have run, and there is no answer.
+	// resultLost means that the request may have run, without a response.
 	stepLost
-	// stepFailed means that the server ran it and answered with a failure of its own, which is kept.
+	// resultFailed means that the server ran the request and responded with a 5xx status, which is kept.
 	stepFailed
 )
 
-// run sends the request until it is answered or nothing more may be tried.
+// run sends the request until it is answered or no further attempt is allowed.
 func (c *call) run(ctx context.Context) {
 	ctx, c.cancel = context.WithTimeout(ctx, clock.Until(c.ends))
 	defer c.cancel()
-	defer c.end()
-	c.ctx, c.changed, c.refusals = ctx, make(chan struct{}, 1), make(map[string]time.Time)
+	defer c.finish()
+	c.ctx, c.wake, c.refusedAt = ctx, make(chan struct{}, 1), make(map[string]time.Time)
 	c.entry.budget.First(c.service.Name, c.started)
-	if c.held() {
-		c.giveUp(ctx, nil, &HeldError{})
+	if c.quarantined() {
+		c.giveUp(ctx, nil, &QuarantinedError{})
 		return
 	}
 	c.entry.calls.add(c)
 	defer c.entry.calls.remove(c)
 	c.entry.admission.Of(c.service.Name).Note(c.admissionAsk(), c.started)
 	c.waited = c.sinceFirstTry()
-	var kept *answer
+	var kept *response
 	var err error
 	for {
-		if err := c.askNextInTime(ctx); err != nil {
+		if err := c.sendNextWithRetries(ctx); err != nil {
 			c.giveUp(ctx, kept, err)
 			return
 		}
-		var held *attempt
-		var falls []failure
-		for held == nil && c.asking() {
-			held, falls = c.await()
-			for _, f := range falls {
+		var winner *attempt
+		var failures []failure
+		for winner == nil && c.inProgress() {
+			winner, failures = c.waitResult()
+			for _, f := range failures {
 				err = f.err
-				c.unknown = c.unknown || f.result == stepLost
-				if f.kept != nil {
-					kept = f.kept
+				c.mayHaveRun = c.mayHaveRun || f.result == stepLost
+				if f.response != nil {
+					kept = f.response
 				}
 			}
 		}
-		if held != nil {
-			c.answer(ctx, held)
+		if winner != nil {
+			c.respond(ctx, winner)
 			return
 		}
-		if ctx.Err() != nil || !c.mayGoOn() {
+		if ctx.Err() != nil || !c.mayRetry() {
 			c.giveUp(ctx, kept, cmp.Or(err, ctx.Err()))
 			return
 		}
 	}
 }
 
-// askNextInTime sends the request to the next server. One that may have run already, and may run again, looks for a place for some
-// time: given up at once its caller would be told that nobody knows (two of 2,087 requests beside planned work, when all other
-// servers were about to load as well).
-func (c *call) askNextInTime(ctx context.Context) error {
-	for until := clock.Now().Add(resumeTime); ; {
-		err := c.askNext()
-		if !errors.As(err, new(*NoServerError)) || !c.unknown || !c.route.Repeatable() || c.noPlaceBy(until) {
+// sendNextWithRetries sends the request to the next server. A repeatable request that may have run keeps looking for
+// a server for up to resumeTimeout, since its caller would otherwise get an unknown outcome.
+func (c *call) sendNextWithRetries(ctx context.Context) error {
+	for until := clock.Now().Add(resumeTimeout); ; {
+		err := c.sendNext()
+		if !errors.As(err, new(*NoServerError)) || !c.mayHaveRun || !c.route.Repeatable() || c.noServerBy(until) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(askAgain):
+		case <-time.After(retryInterval):
 		}
 		c.mu.Lock()
 		c.readmit(clock.Now())
@@ -170,95 +170,94 @@
 	}
 }
 
-// noPlaceBy reports whether a time has come, or it is known that no server wants a request until then.
-func (c *call) noPlaceBy(until time.Time) bool {
+// noServerBy reports whether until has passed, or no server is known to accept a request before it.
+func (c *call) noServerBy(until time.Time) bool {
 	now := clock.Now()
 	c.mu.Lock()
-	asked := make(map[string]bool, len(c.not))
+	excluded := make(map[string]bool, len(c.not))
 	for id := range c.not {
-		asked[id] = c.refusals[id].IsZero()
+		excluded[id] = c.refusedAt[id].IsZero()
 	}
 	c.mu.Unlock()
-	return now.Add(c.entry.opensIn(c.service.Name, asked, now)).After(until)
+	return now.Add(c.entry.availableIn(c.service.Name, excluded, now)).After(until)
 }
 
-// askNext sends the request to the next server.
-func (c *call) askNext() error {
+// sendNext sends the request to the next server.
+func (c *call) sendNext() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.offered == 0 && !c.endsInTime(clock.Now()) {
+	if c.sends == 0 && !c.endsInTime(clock.Now()) {
 		return errLeaving
 	}
-	if c.held() {
-		return &HeldError{}
+	if c.quarantined() {
+		return &QuarantinedError{}
 	}
-	for paid := c.offered+c.refused == 0; ; paid = true {
-		ch, err := c.next()
+	for budgeted := c.sends+c.refusalCount == 0; ; budgeted = true {
+		ch, err := c.chooseNext()
 		if err != nil {
 			return err
 		}
-		if !paid && !c.entry.budget.Again(c.service.Name, clock.Now()) {
-			return errNoBudget
+		if !budgeted && !c.entry.budget.Again(c.service.Name, clock.Now()) {
+			return errRetryBudget
 		}
-		if c.begin(ch) != nil {
+		if c.start(ch) != nil {
 			return nil
 		}
 	}
 }
 
-// answer passes on the answer that a server has begun.
-func (c *call) answer(ctx context.Context, a *attempt) {
-	if a.streams() {
-		c.stream(ctx, a)
+// respond relays the response of the winning attempt.
+func (c *call) respond(ctx context.Context, a *attempt) {
+	if a.isStream() {
+		c.relayStream(ctx, a)
 		return
 	}
-	defer a.finish()
-	c.first = clock.Since(c.started)
-	a.got.deliver(c.w, c.entry.leaving.Load())
-	c.noteStep(a, stepDone, nil)
-	c.outcome("answered", a.got.status, nil)
+	defer a.close()
+	c.firstEventAfter = clock.Since(c.started)
+	a.complete.writeTo(c.w, c.entry.leaving.Load())
+	c.recordResult(a, stepDone, nil)
+	c.outcome("answered", a.complete.status, nil)
 }
 
-// mayGoOn reports whether another server may be tried when none is asked any more. A server that did not run the request does
-// not count as one that it went to.
-func (c *call) mayGoOn() bool {
+// mayRetry reports whether another server may be tried when no attempt is in progress. A server that did not run the
+// request does not count as an attempt.
+func (c *call) mayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.offered == 0 {
-		return c.refused < c.route.Attempts+notRunTries
+	if c.sends == 0 {
+		return c.refusalCount < c.route.Attempts+notRunRetries
 	}
 	return c.mayHedge()
 }
 
 // mayHedge reports whether a request that may have run may go to one more server; mu is held.
 func (c *call) mayHedge() bool {
-	return c.route.Repeatable() && c.offered < c.route.Attempts && c.refused < maxRefusals && !c.held()
+	return c.route.Repeatable() && c.sends < c.route.Attempts && c.refusalCount < maxRefusals && !c.quarantined()
 }
 
-// next chooses the next server; mu is held.
-func (c *call) next() (choice, error) {
+// chooseNext chooses the next server; mu is held.
+func (c *call) chooseNext() (choice, error) {
 	ch, ok := c.entry.choose(c.wanted(), clock.Now())
 	if !ok {
-		return choice{}, &NoServerError{Service: c.service.Name, Reason: "none can take it now"}
+		return choice{}, &NoServerError{Service: c.service.Name, Reason: "none accepts the request now"}
 	}
-	if c.offered+c.refused == 0 && !c.worthwhile(ch) {
-		return choice{}, &BusyError{Service: c.service.Name, Wait: ch.first, Writing: ch.load.Writing, Reading: ch.load.Reading}
+	if c.sends+c.refusalCount == 0 && !c.admitted(ch) {
+		return choice{}, &BusyError{Service: c.service.Name, Wait: ch.first, Decoding: ch.load.Writing, Prefilling: ch.load.Reading}
 	}
 	return ch, nil
 }
 
-// wanted returns what a server has to be to take the request.
+// requirements returns what a server must satisfy to take the request.
 func (c *call) wanted() wanted {
 	return wanted{
 		service: c.service, model: c.model(), prompt: c.ask.Prompt, answer: c.ask.answer(), not: c.not,
-		urgent: c.urgent, moves: c.route.Repeatable() && c.offered+1 < c.route.Attempts,
+		urgent: c.urgent, movable: c.route.Repeatable() && c.sends+1 < c.route.Attempts,
 	}
 }
 
-// worthwhile reports whether a request is let in by what waits before it at the best server. Its own length does not count,
-// neither its reading nor the passes that it needs more, so that long requests are not refused more often: mean worth rose by
-// 0.014 in shortages that last (14 days).
-func (c *call) worthwhile(ch choice) bool {
+// admitted reports whether admission control accepts the request, judged by the queue at the best server. The
+// request's own length is left out, so that long requests are not refused more often.
+func (c *call) admitted(ch choice) bool {
 	if c.service.Engine == nil || c.route.Goal <= 0 {
 		return true
 	}
@@ -266,12 +265,12 @@
 	return c.entry.admission.Of(c.service.Name).LetIn(c.admissionAsk(), c.waited, ch.first-own)
 }
 
-// admissionAsk returns what the request tells that asks to be let in.
+// admissionAsk describes the request to admission control.
 func (c *call) admissionAsk() admission.Ask {
 	return admission.Ask{Kind: c.route.Name, Goal: c.route.Goal}
 }
 
-// model returns the model that the request asks for, or the service's only one.
+// model returns the requested model, or else the service's only one.
 func (c *call) model() string {
 	if c.ask.Model != "" {
 		return c.ask.Model
@@ -284,43 +283,42 @@
 }
 
 var (
-	errNoBudget = errors.New("no budget for a second send")
-	errLeaving  = errors.New("the entry leaves")
+	errRetryBudget = errors.New("retry budget is exhausted")
+	errLeaving     = errors.New("entry is leaving")
 )
 
-// giveUp answers when nothing more may be tried: with a server's own failure, or with one of the entry's own that says
-// whether the request may have run.
-func (c *call) giveUp(ctx context.Context, kept *answer, err error) {
+// giveUp responds when no further attempt is allowed: with the server's 5xx response, or with an error of the entry's
+// own that says whether the request may have run.
+func (c *call) giveUp(ctx context.Context, kept *response, err error) {
 	switch {
 	case c.r.Context().Err() != nil:
 		c.outcome("caller-gone", 0, err)
 		panic(http.ErrAbortHandler)
 	case kept != nil:
-		kept.deliver(c.w, c.entry.leaving.Load())
+		kept.writeTo(c.w, c.entry.leaving.Load())
 		c.outcome("failed-at-server", kept.status, err)
-	case c.unknown && ctx.Err() != nil:
-		c.refuse(http.StatusGatewayTimeout, "out-of-time", "the time is over; it may have run", 0, err)
-	case c.unknown:
-		c.refuse(http.StatusBadGateway, "unknown", "no whole answer came; it may have run", 0, err)
-	case errors.As(err, new(*HeldError)):
-		c.refuse(http.StatusServiceUnavailable, "held", "servers have ended under this request; it is not sent to more", quarantine.KeepTime, err)
+	case c.mayHaveRun && ctx.Err() != nil:
+		c.refuse(http.StatusGatewayTimeout, "out-of-time", "deadline exceeded; the request may have run", 0, err)
+	case c.mayHaveRun:
+		c.refuse(http.StatusBadGateway, "unknown", "no complete response; the request may have run", 0, err)
+	case errors.As(err, new(*QuarantinedError)):
+		c.refuse(http.StatusServiceUnavailable, "held", "servers exited while running this request; it is sent to no more of them", quarantine.KeepTime, err)
 	case errors.Is(err, errLeaving):
-		c.refuse(http.StatusServiceUnavailable, "leaving", "the entry ends before it would be answered", leaveRetryAfter, err)
+		c.refuse(http.StatusServiceUnavailable, "leaving", "the entry is leaving and could not respond in time", leaveRetryAfter, err)
 	default:
-		c.refuse(http.StatusServiceUnavailable, "not-run", "no server took it", c.retryAfter(), err)
+		c.refuse(http.StatusServiceUnavailable, "not-run", "no server accepted the request", c.retryAfter(), err)
 	}
 }
 
-// retryAfter says when the request is likely to be served.
+// retryAfter returns the value for Retry-After.
 func (c *call) retryAfter() time.Duration {
 	return c.entry.retryAfter(c.service, c.route, clock.Now())
 }
 
-// priority returns the rank of the request: that of its team before that of its route, the first one when it goes on at another
-// server.
+// priority returns topPriority for urgent requests, else the team's priority, else the route's.
 func (c *call) priority() int {
 	if c.urgent {
-		return mostUrgent
+		return topPriority
 	}
 	if c.team != nil && c.team.HasPriority {
 		return c.team.Priority
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -9,34 +9,36 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// running is a request in progress.
+// activeRequest is a caller's request in progress.
 type running struct {
 	id, route string
 	started   time.Time
 }
 
-// callerConn is what is known of a connection: its state and since when, and whether its closing was begun while it rested.
+// callerConn is the state of a caller's connection. closing is set once closing it has begun while it was idle.
 type callerConn struct {
-	state  http.ConnState
-	since  time.Time
-	closes bool
+	state   http.ConnState
+	since   time.Time
+	closing bool
 }
 
-// kept reports whether a request may come on the connection, by its rest.
-func (c *callerConn) kept(now time.Time, rest time.Duration) bool {
+// reusable reports whether the caller may still send a request on the connection, given how long callers keep idle
+// ones.
+func (c *callerConn) reusable(now time.Time, rest time.Duration) bool {
 	return c.state != http.StateActive && now.Sub(c.since) < rest
 }
 
-// callerConns knows the callers' connections and the requests in progress.
+// callerConns tracks the callers' connections and the requests in progress.
 type callerConns struct {
 	mu      sync.Mutex
 	conns   map[net.Conn]*callerConn
 	running map[*running]struct{}
-	// came is when a connection or a request came last.
-	came time.Time
+	// lastActivity is when a connection or a request last arrived.
+	lastActivity time.Time
 }
 
-// note takes a connection's new state. A request whose head was read while its connection began to close is served.
+// setState records a connection's new state. If a request header was read while closing had begun, the closing is
+// undone and the request is served.
 func (c *callerConns) note(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,17 +54,17 @@
 		known = &callerConn{}
 		c.conns[conn] = known
 	}
-	if known.closes {
-		known.closes = false
+	if known.closing {
+		known.closing = false
 		_ = conn.SetReadDeadline(time.Time{})
 	}
 	known.state, known.since = state, clock.Now()
 	if state != http.StateIdle {
-		c.came = known.since
+		c.lastActivity = known.since
 	}
 }
 
-// begin notes a request in progress until end.
+// addRequest registers a request in progress until removeRequest.
 func (c *callerConns) begin(r *running) *running {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,7 +81,6 @@
 	delete(c.running, r)
 }
 
-// inProgress returns the requests in progress.
 func (c *callerConns) inProgress() []running {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,40 +91,41 @@
 	return all
 }
 
-// settled reports whether nothing is in progress, nothing came lately, and each connection has rested for so long that nothing
-// comes on it any more.
+// drained reports whether no request is in progress, none arrived lately, and every connection has been idle for
+// longer than callers reuse one.
 func (c *callerConns) settled(now time.Time, rest time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		if conn.state == http.StateActive || conn.kept(now, rest) {
+		if conn.state == http.StateActive || conn.reusable(now, rest) {
 			return false
 		}
 	}
-	return now.Sub(c.came) >= quietTime
+	return now.Sub(c.lastActivity) >= quietTime
 }
 
-// kept counts the connections without a request on which one may come.
+// reusable counts the connections without a request on which one may still arrive.
 func (c *callerConns) kept(now time.Time, rest time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, conn := range c.conns {
-		if conn.kept(now, rest) {
+		if conn.reusable(now, rest) {
 			n++
 		}
 	}
 	return n
 }
 
-// closeResting has each connection that rests closed, and reports whether none is left. Each gets a read deadline that is over:
-// a request whose head was read before is served, and of any other its connection closes without it, so that it runs nowhere.
+// closeIdle begins to close all idle connections and reports whether none is left. An expired read deadline does
+// that: a request whose header was already read is still served, any other is dropped with its connection and runs
+// nowhere.
 func (c *callerConns) closeResting(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, known := range c.conns {
 		if known.state == http.StateIdle || known.state == http.StateNew && now.Sub(known.since) >= quietTime {
-			known.closes = true
+			known.closing = true
 			_ = conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// TestRequestReadBeforeTheCloseIsServed proves that a connection whose closing was begun while the head of a request was read
-// goes on with it, and that none is closed on which a request is in progress.
-func TestRequestReadBeforeTheCloseIsServed(t *testing.T) {
+// TestRequestReadBeforeCloseIsServed checks that a request whose header was read while its connection began to close
+// is served, and that no connection with a request in progress is closed.
+func TestRequestReadBeforeCloseIsServed(t *testing.T) {
 	t.Parallel()
 	for name, test := range map[string]struct {
 		states []http.ConnState
 		closes bool
 	}{
-		"rests":                   {[]http.ConnState{http.StateNew, http.StateActive, http.StateIdle}, true},
-		"a request is on it":      {[]http.ConnState{http.StateNew, http.StateActive}, false},
-		"a request is on its way": {[]http.ConnState{http.StateNew}, false},
+		"idle":                {[]http.ConnState{http.StateNew, http.StateActive, http.StateIdle}, true},
+		"request in progress": {[]http.ConnState{http.StateNew, http.StateActive}, false},
+		"new connection":      {[]http.ConnState{http.StateNew}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -29,14 +29,14 @@
 				conns.note(ours, state)
 			}
 			if conns.closeResting(time.Now()) {
-				t.Error("no connection is left")
+				t.Error("closeIdle reports that no connection is left")
 			}
 			if _, err := ours.Read(make([]byte, 1)); (err != nil) != test.closes {
 				t.Errorf("reading: %v, want closed %v", err, test.closes)
 			}
 			conns.note(ours, http.StateActive)
 			if _, err := ours.Read(make([]byte, 1)); err != nil {
-				t.Errorf("the request that was read is not served: %v", err)
+				t.Errorf("the request whose header was read is not served: %v", err)
 			}
 			conns.note(ours, http.StateClosed)
 			if !conns.closeResting(time.Now()) {
--- a/forward/calls.go
+++ b/forward/calls.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// calls are the requests that the entry has let in.
+// calls are the requests in progress that passed quarantine.
 type calls struct {
 	mu  sync.Mutex
 	all map[*call]struct{}
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -10,83 +10,84 @@
 )
 
 const (
-	// otherSite and otherRegion are what the bytes to another site or region count as, in time; measured rounds stand in
-	// docs/design/platform.md.
-	otherSite   = 12 * time.Millisecond
-	otherRegion = 40 * time.Millisecond
-	// jitter keeps entries from all choosing the same server.
-	jitter = 10 * time.Millisecond
-	// deniedTime is how long a server that denied what the list says is passed over without newer news: an entry of the list
-	// whose server has ended lapses after about that time.
-	deniedTime = 4 * time.Second
-	// plainWork is what a request at a plain service counts as.
-	plainWork = 60 * time.Millisecond
-	// dueMargin, and dueFactor times the predicted wait more, is how long before the bound on its version a server gets no
-	// more requests.
-	dueMargin = 800 * time.Millisecond
-	// unfilledMargin is the same at a server whose pieces are still on their way, unless the way there is known to be quick:
-	// what jams its link holds requests up.
-	unfilledMargin = 2600 * time.Millisecond
-	dueFactor      = 2
-	// missingTime is what a server that is no longer listed counts as.
-	missingTime = 10 * time.Second
+	// crossSiteCost and crossRegionCost are the price of sending a request to another site or region, as latency.
+	crossSiteCost   = 12 * time.Millisecond
+	crossRegionCost = 40 * time.Millisecond
+	// costJitter keeps entries from all choosing the same server.
+	costJitter = 10 * time.Millisecond
+	// misdirectedBackoff is how long a server that responded 421 is skipped; the list entry of an exited server expires
+	// in about that time.
+	misdirectedBackoff = 4 * time.Second
+	// plainRequestCost is the predicted latency of a request at a service without an engine.
+	plainRequestCost = 60 * time.Millisecond
+	// A server gets no more requests from dispatchMargin plus dispatchWaitFactor times the predicted wait before the
+	// deadline of its version.
+	dispatchMargin = 800 * time.Millisecond
+	// unfilledDispatchMargin applies while the server's box still downloads pieces over a link not known to be fast:
+	// the download can delay requests.
+	unfilledDispatchMargin = 2600 * time.Millisecond
+	dispatchWaitFactor     = 2
+	// unlistedPenalty is added to the cost of a server that is no longer listed.
+	unlistedPenalty = 10 * time.Second
 )
 
-// wanted is what a server has to be to take a request.
+// requirements are what a server must satisfy to take a request.
 type wanted struct {
 	service *contract.Service
 	model   string
 	prompt  int
 	answer  int
-	// exact is the only version that may answer; 0 for any.
-	exact contract.Version
-	// urgent says that servers let it in before what waits there, moves that it may go on at another one later.
-	urgent bool
-	moves  bool
-	// stays is how much later at least the server's turn to load has to come.
-	stays time.Duration
-	not   map[string]bool
-	// entries is among how many entries a limit of a server is divided.
+	// version is the only version that may answer; 0 for any.
+	version contract.Version
+	// urgent requests are admitted before waiting ones; movable ones may continue at another server later.
+	urgent  bool
+	movable bool
+	// minOpen is the minimum time until the server closes to load another version.
+	minOpen time.Duration
+	not     map[string]bool
+	// entries is the number of entries that share a server's limit.
 	entries int
 }
 
-// choice is a server with what is predicted there.
+// choice is a server with its predictions.
 type choice struct {
 	up      *upstream
 	server  contract.Server
 	version contract.Version
-	// entries is among how many entries a limit of the server is divided.
+	// entries is the number of entries that share the server's limit.
 	entries int
-	// first is when the first event, or a plain answer, is predicted; cost adds the price of the way there.
+	// first is the predicted time to the first event, or to a plain response; cost adds penalties such as that of
+	// another site.
 	first time.Duration
 	cost  time.Duration
 	load  engine.Load
-	// closes is how soon the server takes nothing new, over by how much the request would outlast that.
-	closes time.Duration
-	over   time.Duration
-	// among is how many servers could be chosen.
+	// closesIn is the time until the server closes to new requests, overrun the time the request is predicted to run
+	// beyond that.
+	closesIn time.Duration
+	overrun  time.Duration
+	// candidates is the number of servers that could be chosen.
 	among int
-	// reportAge is how old the latest report of the server's box was; 0 when there is none.
+	// reportAge is the age of the latest report of the server's box; 0 without one.
 	reportAge time.Duration
 }
 
-// choose returns a server at which a request is done soonest, one that the entry does not keep to only when none of the others
-// may take it; ok is false when none may at all.
+// choose returns the server with the lowest cost. Servers outside the entry's subset are tried only when none inside
+// can take the request; ok is false when none can at all.
 func (e *Entry) choose(want wanted, now time.Time) (best choice, ok bool) {
 	want.entries = e.sharers()
-	if best, ok = e.chooseOf(e.upstreams.of(want.service.Name), want, now); ok {
+	if best, ok = e.chooseAmong(e.upstreams.of(want.service.Name), want, now); ok {
 		return best, true
 	}
-	return e.chooseOf(e.upstreams.besides(want.service.Name), want, now)
+	return e.chooseAmong(e.upstreams.besides(want.service.Name), want, now)
 }
 
-// chooseOf chooses among some servers. Those that failed lately come in only when they are the most of them.
-func (e *Entry) chooseOf(ups []*upstream, want wanted, now time.Time) (best choice, ok bool) {
+// chooseAmong chooses among ups. Ejected servers are included only when they outnumber the healthy ones.
+func (e *Entry) chooseAmong(ups []*upstream, want wanted, now time.Time) (best choice, ok bool) {
 	usable, ejected := make([]choice, 0, len(ups)), []choice(nil)
-	var at shares
+	var counts requestCounts
 	for _, up := range ups {
-		c, until, fits := e.consider(up, want, now)
-		at.add(up, now)
+		c, until, fits := e.evaluate(up, want, now)
+		counts.add(up, now)
 		switch {
 		case !fits:
 		case now.Before(until):
@@ -101,23 +102,23 @@
 	if len(usable) == 0 {
 		return choice{}, false
 	}
-	priceOverrun(usable, want.moves)
+	priceOverrun(usable, want.movable)
 	if want.service.Engine == nil || want.service.Engine.ReadRate <= 0 {
 		return usable[spread.Cheapest(costs(usable))], true
 	}
-	best = pick(usable, at.sent(want.service.Engine), addedWait(want.service.Engine))
+	best = pick(usable, counts.estimateInFlight(want.service.Engine), waitPerRequest(want.service.Engine))
 	best.among = len(usable)
 	return best, true
 }
 
-// consider predicts what a request costs at a server; fits is false when it may not take it, until is when it is no longer
-// ejected after failures.
-func (e *Entry) consider(up *upstream, want wanted, now time.Time) (c choice, until time.Time, fits bool) {
+// evaluate predicts the cost of a request at a server; fits is false when the server can't take it, until is the end
+// of its ejection.
+func (e *Entry) evaluate(up *upstream, want wanted, now time.Time) (c choice, until time.Time, fits bool) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	server := up.server
 	gone := up.missing && now.After(up.goneAt)
-	if up.leaves() || gone || want.not[server.ID] || now.Sub(up.denied) < deniedTime || up.opensIn(want.entries, now) > 0 {
+	if up.isLeaving() || gone || want.not[server.ID] || now.Sub(up.denied) < misdirectedBackoff || up.opensIn(want.entries, now) > 0 {
 		return choice{}, time.Time{}, false
 	}
 	c = choice{up: up, server: server, entries: want.entries}
@@ -125,62 +126,62 @@
 		c.reportAge = now.Sub(up.reportAt)
 	}
 	if want.service.Engine == nil {
-		c.first = plainWork*time.Duration(1+up.inFlight/max(server.Slots, 1)) + time.Duration(up.inFlight)*time.Millisecond
+		c.first = plainRequestCost*time.Duration(1+up.inFlight/max(server.Slots, 1)) + time.Duration(up.inFlight)*time.Millisecond
 	} else if !e.predict(&c, want, now) {
 		return choice{}, time.Time{}, false
 	}
-	c.cost += c.first + up.silence(now) + e.siteCost(server.Site) + rand.N(jitter)
+	c.cost += c.first + up.silence(now) + e.siteCost(server.Site) + rand.N(costJitter)
 	if up.missing {
-		c.cost += missingTime
+		c.cost += unlistedPenalty
 	}
 	return c, up.ejectedUntil, true
 }
 
-// predict fills in a choice of an engine's server; it reports whether the server may take the request. The server's mutex
+// predict fills in the choice of a server with an engine and reports whether the server may take the request; up.mu
 // is held.
 func (e *Entry) predict(c *choice, want wanted, now time.Time) bool {
 	up := c.up
 	c.version = up.version(want.model, now)
-	if c.version == 0 || want.exact != 0 && c.version != want.exact || up.closing(now) {
+	if c.version == 0 || want.version != 0 && c.version != want.version || up.closing(now) {
 		return false
 	}
 	c.load = up.load(want.service.Engine, now)
 	late := up.faded(now) + stuckFactor*up.stuck(now) + up.way.held(now)
 	c.first = engine.First(want.service.Engine, c.load, want.prompt) + late
-	c.closes = up.closes(now)
-	if e.overdue(up, want.model, *c, now) || c.closes < want.stays {
+	c.closesIn = up.closes(now)
+	if e.overdue(up, want.model, *c, now) || c.closesIn < want.minOpen {
 		return false
 	}
 	if want.urgent {
 		c.load.Reading, c.load.Unread = 0, 0
 		c.first = engine.First(want.service.Engine, c.load, want.prompt) + late
 	}
-	c.over = max(c.first+engine.Write(want.service.Engine, c.load, want.answer)-c.closes, 0)
+	c.overrun = max(c.first+engine.Write(want.service.Engine, c.load, want.answer)-c.closesIn, 0)
 	return true
 }
 
-// overdue reports whether a request might begin at a server after the bound on its version: not only the wait that is
-// predicted counts, it may also be held up on the way.
+// missesVersionDeadline reports whether a request might start at a server after the deadline of its version, with a
+// margin for delays on the way.
 func (e *Entry) overdue(up *upstream, model string, c choice, now time.Time) bool {
 	due, older := e.cfg.View.Due(model, c.version)
 	if !older {
 		return false
 	}
-	margin := dueMargin
+	margin := dispatchMargin
 	if !up.filled(now) && !up.way.quick(now) {
-		margin = unfilledMargin
+		margin = unfilledDispatchMargin
 	}
-	return now.Add(margin + dueFactor*c.first + up.silence(now)).After(due)
+	return now.Add(margin + dispatchWaitFactor*c.first + up.silence(now)).After(due)
 }
 
-// siteCost returns what the way to a site counts as.
+// siteCost returns the added cost of a request to a site.
 func (e *Entry) siteCost(site string) time.Duration {
 	switch here := e.cfg.Machine.Site; {
 	case site == here:
 		return 0
 	case e.cfg.Machine.Region(site) == e.cfg.Machine.Region(here):
-		return otherSite
+		return crossSiteCost
 	default:
-		return otherRegion
+		return crossRegionCost
 	}
 }
--- a/forward/denied_test.go
+++ b/forward/denied_test.go
@@ -10,11 +10,11 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// TestServerThatDeniesIsLeftUntilThereIsNews proves that a server which said that it is not the one listed gets nothing more
-// while the list and its box say what they said before, and gets requests again once they say something new.
+// TestServerThatDeniesIsLeftUntilThereIsNews checks that a server that responded with 421 gets no request until the
+// list or its box reports a change.
 func TestServerThatDeniesIsLeftUntilThereIsNews(t *testing.T) {
-	denies := newFake(t, saying("HTTP/1.1 421 Misdirected Request\nId: r1\nContent-Length: 0\n\n"))
-	w := newEngineWorld(t, denies.address)
+	misdirects := newFake(t, saying("HTTP/1.1 421 Misdirected Request\nId: r1\nContent-Length: 0\n\n"))
+	w := newEngineWorld(t, misdirects.address)
 	ask := func() {
 		if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.status != http.StatusServiceUnavailable {
 			t.Fatalf("status %d", got.status)
@@ -26,20 +26,20 @@
 		w.report(0, false)
 		ask()
 	}
-	if n := denies.arrivals(); n != 1 {
-		t.Errorf("%d requests sent to a server that denies, want 1", n)
+	if n := misdirects.arrivals(); n != 1 {
+		t.Errorf("%d requests sent to a server that responded 421, want 1", n)
 	}
 	w.entry.upstreams.heard(link.Report{Server: serverName(0), Model: engineModel, Version: 2}, time.Now())
 	ask()
-	if n := denies.arrivals(); n != 2 {
-		t.Errorf("%d requests sent, want one more once its box tells of another version", n)
+	if n := misdirects.arrivals(); n != 2 {
+		t.Errorf("%d requests sent, want one more once its box reports another version", n)
 	}
 	listed := contract.Server{
-		ID: serverName(0), Service: "s", Address: denies.address, Slots: 9, Loaded: map[string]contract.Version{engineModel: 2},
+		ID: serverName(0), Service: "s", Address: misdirects.address, Slots: 9, Loaded: map[string]contract.Version{engineModel: 2},
 	}
 	w.entry.upstreams.update([]view.Listed{{Server: listed}})
 	ask()
-	if n := denies.arrivals(); n != 3 {
-		t.Errorf("%d requests sent, want one more once the list says something new", n)
+	if n := misdirects.arrivals(); n != 3 {
+		t.Errorf("%d requests sent, want one more once its list entry changes", n)
 	}
 }
--- a/forward/errors.go
+++ b/forward/errors.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// BrokenAnswerError says that what a server sent is not the whole answer to the request.
-type BrokenAnswerError struct{ Reason string }
+// InvalidResponseError means that a server's response is incomplete or not one to the request.
+type InvalidResponseError struct{ Reason string }
 
 // Error gives the reason.
-func (e *BrokenAnswerError) Error() string { return "not a whole answer: " + e.Reason }
+func (e *InvalidResponseError) Error() string { return "invalid response: " + e.Reason }
 
-// SilentError says that a server sent nothing for too long.
-type SilentError struct{ Server string }
+// SilentServerError means that a server exceeded its silence timeout.
+type SilentServerError struct{ Server string }
 
 // Error names the server.
-func (e *SilentError) Error() string { return fmt.Sprintf("server %s is silent", e.Server) }
+func (e *SilentServerError) Error() string { return fmt.Sprintf("server %s is silent", e.Server) }
 
-// ClosingError says that a server is about to load, so that requests should go on elsewhere.
+// ClosingError means that a server is about to load another version, so that its requests should move.
 type ClosingError struct{ Server string }
 
 // Error names the server.
 func (e *ClosingError) Error() string { return fmt.Sprintf("server %s is closing", e.Server) }
 
-// HandedOnError says that a request goes on at another server, which has begun to answer it.
-type HandedOnError struct{ Server, To string }
+// SupersededError means that another server began to respond first.
+type SupersededError struct{ Server, To string }
 
 // Error names both servers.
-func (e *HandedOnError) Error() string {
-	return fmt.Sprintf("server %s is left, %s has begun to answer", e.Server, e.To)
+func (e *SupersededError) Error() string {
+	return fmt.Sprintf("server %s is superseded, server %s responded first", e.Server, e.To)
 }
 
-// RestartedError says that a server has started again, and with it what it had in progress has ended.
+// RestartedError means that a server restarted and lost its requests in progress.
 type RestartedError struct{ Server string }
 
 // Error names the server.
-func (e *RestartedError) Error() string { return fmt.Sprintf("server %s has started again", e.Server) }
+func (e *RestartedError) Error() string { return fmt.Sprintf("server %s has restarted", e.Server) }
 
-// OverdueError says that a request waits at a server whose version may begin nothing any more.
-type OverdueError struct{ Server string }
+// VersionDeadlineError means that a request was still waiting at a server whose version may start no more requests.
+type VersionDeadlineError struct{ Server string }
 
 // Error names the server.
-func (e *OverdueError) Error() string {
-	return fmt.Sprintf("server %s runs a version that may begin nothing any more", e.Server)
+func (e *VersionDeadlineError) Error() string {
+	return fmt.Sprintf("server %s runs a version that may start no more requests", e.Server)
 }
 
-// HeldError says that servers have ended under a request, so that it goes to no more of them.
-type HeldError struct{}
+// QuarantinedError means that servers exited while they ran the request, so that it is sent to no more of them.
+type QuarantinedError struct{}
 
-// Error says so.
-func (*HeldError) Error() string { return "servers end under the request" }
+// Error gives the reason for the quarantine.
+func (*QuarantinedError) Error() string { return "servers exited while running the request" }
 
-// NoServerError says that no server can take a request now.
+// NoServerError means that no server can take the request now.
 type NoServerError struct{ Service, Reason string }
 
 // Error names the service.
@@ -59,15 +59,15 @@
 	return fmt.Sprintf("no server of %s: %s", e.Service, e.Reason)
 }
 
-// BusyError says that a request would not be answered in time at any server; Wait is what is predicted at the best.
+// BusyError means that no server would respond in time; Wait is the predicted wait at the best one.
 type BusyError struct {
-	Service          string
-	Wait             time.Duration
-	Writing, Reading int
+	Service              string
+	Wait                 time.Duration
+	Decoding, Prefilling int
 }
 
-// Error tells the wait and the load at the best server.
+// Error gives the wait and the load at the best server.
 func (e *BusyError) Error() string {
 	return fmt.Sprintf("no server of %s is free in time: %s at the best, writing %d, reading %d",
-		e.Service, e.Wait.Round(time.Millisecond), e.Writing, e.Reading)
+		e.Service, e.Wait.Round(time.Millisecond), e.Decoding, e.Prefilling)
 }
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -10,308 +10,307 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// A request that may run again goes on elsewhere when its server is about to load, silent or broken. While the server is at
-// work nothing is given up: another one is asked beside it, and takes over once it has begun to answer; one that refuses or
-// says nothing leaves the request where it is. What this guards are answers beside planned work: given up before the other had
-// begun, seven and two streams of a day were cut on two deployments, with it none (one run each, planned work alone).
+// A repeatable request is handed over when its server is about to load another version, silent or broken. A server
+// that still works keeps the request until another one has begun to respond; one that refuses or stays silent changes
+// nothing.
 
 const (
-	// askAgain is how long after a request found no other server it is tried again.
-	askAgain = 100 * time.Millisecond
-	// resumeTime is for how long a place is looked for when a stream broke off and nothing else holds it; callers give up a
-	// stream after two seconds without an event at the soonest.
-	resumeTime = 1500 * time.Millisecond
-	// boundMargin is how long before the bound on its version a request that waits is taken away from a server: the way there and
-	// some delay on its link.
-	boundMargin = 100 * time.Millisecond
+	// retryInterval is the pause before servers are looked for again.
+	retryInterval = 100 * time.Millisecond
+	// resumeTimeout bounds the search for a server that continues a broken stream; it is shorter than callers wait
+	// for an event.
+	resumeTimeout = 1500 * time.Millisecond
+	// versionDeadlineMargin is how long before the deadline of its version a waiting request is cancelled: it covers
+	// the latency of the link.
+	versionDeadlineMargin = 100 * time.Millisecond
 )
 
-// begin sends the request to a server; nil where that has no room for it any more. mu is held.
-func (c *call) begin(ch choice) *attempt {
+// start sends the request to a server in a goroutine of its own; nil if the server no longer has room. mu is held.
+func (c *call) start(ch choice) *attempt {
 	t := ch.up.take(c.ask.Prompt, ch.first, ch.entries, clock.Now())
 	if t == nil {
 		return nil
 	}
-	a := &attempt{call: c, choice: ch, ticket: t, rank: c.priority(), hedges: c.winner, fresh: c.silence}
+	a := &attempt{call: c, choice: ch, ticket: t, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
 	a.ctx, a.cancel = context.WithCancelCause(c.ctx)
-	c.offered++
+	c.sends++
 	c.not[ch.server.ID] = true
 	c.last = ch
 	a.ticket.whenRestarted(a.cancel)
-	c.asked = append(c.asked, a)
+	c.pending = append(c.pending, a)
 	if c.route.Repeatable() {
-		a.listens.Store(true)
-		a.quiet = time.AfterFunc(a.silenceTimeout(), a.silent)
+		a.awaitsData.Store(true)
+		a.silenceTimer = time.AfterFunc(a.responseTimeout(), a.onSilence)
 		if c.service.Engine != nil {
-			a.ticket.whenClosing(a.move)
-			a.boundVersion()
+			a.ticket.onClosing(a.move)
+			a.startVersionTimer()
 		}
 	}
 	go a.run()
 	return a
 }
 
-// boundVersion has a request that has not begun right before the bound on the version of its server taken away from there: a slot
-// may fall free at any moment, and what begins later is answered by a version that should not run any more.
-func (a *attempt) boundVersion() {
+// startVersionTimer cancels a request that has not begun shortly before the deadline of its server's version: a slot
+// could become free after it, and the outdated version would answer.
+func (a *attempt) startVersionTimer() {
 	due, older := a.call.entry.cfg.View.Due(a.call.model(), a.choice.version)
 	if !older {
 		return
 	}
-	a.bound = time.AfterFunc(clock.Until(due)-boundMargin, func() {
-		if _, waits := a.live(); waits {
-			a.cancel(&OverdueError{Server: a.choice.server.ID})
+	a.versionTimer = time.AfterFunc(clock.Until(due)-versionDeadlineMargin, func() {
+		if _, waits := a.state(); waits {
+			a.cancel(&VersionDeadlineError{Server: a.choice.server.ID})
 		}
 	})
 }
 
-// silenceTimeout returns how long the server may be silent: as long as events of another one are kept back for it, not much longer
-// than a pause that is in time.
-func (a *attempt) silenceTimeout() time.Duration {
-	if a.hedges == nil {
-		return a.choice.silence()
+// responseTimeout returns how long the server may stay silent. While events of the primary are buffered for it that
+// is hardly longer than the pause goal.
+func (a *attempt) responseTimeout() time.Duration {
+	if a.primary == nil {
+		return a.choice.silenceTimeout()
 	}
 	return max(a.call.route.PauseGoal, a.choice.first*3/2)
 }
 
-// run sends the request, and has the answer taken once it has begun.
+// run performs the attempt and, if it gets a response, tries to win the call.
 func (a *attempt) run() {
-	result, err := a.begin()
+	result, err := a.exchange()
 	if err == nil {
 		if a.win() {
 			return
 		}
-		// Its server has run it, though nobody gets the answer.
+		// The server has run the request, but its response is not used.
 		result, err = stepLost, context.Cause(a.ctx)
 	}
-	a.fail(result, err)
-	a.finish()
+	a.recordFailure(result, err)
+	a.close()
 }
 
-// live reports whether the attempt may still take the call over, and returns the answer that is on its way already.
-func (a *attempt) live() (p *passage, live bool) {
+// state reports whether the attempt may still win the call, and returns the stream being relayed.
+func (a *attempt) state() (s *callerStream, live bool) {
 	c := a.call
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.passage, !c.over && slices.Contains(c.asked, a)
+	return c.stream, !c.done && slices.Contains(c.pending, a)
 }
 
-// win makes the attempt the one that answers, in place of all others; false when the call goes on without it.
+// win makes the attempt the one whose response is relayed and cancels all others; false when it is no longer wanted.
 func (a *attempt) win() bool {
 	c := a.call
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.over || a.ctx.Err() != nil || c.winner != nil && c.winner != a.hedges {
+	if c.done || a.ctx.Err() != nil || c.winner != nil && c.winner != a.primary {
 		return false
 	}
-	c.asked = slices.DeleteFunc(c.asked, func(other *attempt) bool { return other == a })
-	others := c.asked
+	c.pending = slices.DeleteFunc(c.pending, func(other *attempt) bool { return other == a })
+	others := c.pending
 	if c.winner != nil {
 		others = append(others, c.winner)
 	}
 	for _, other := range others {
-		other.cancel(&HandedOnError{Server: other.choice.server.ID, To: a.choice.server.ID})
+		other.cancel(&SupersededError{Server: other.choice.server.ID, To: a.choice.server.ID})
 	}
 	if len(others) > 0 {
 		handovers("taken").Inc()
 	}
-	c.asked, c.winner, c.last = nil, a, a.choice
-	c.tell()
+	c.pending, c.winner, c.last = nil, a, a.choice
+	c.notify()
 	return true
 }
 
-// fail notes that the attempt came to nothing; what was asked beside it goes on.
-func (a *attempt) fail(result step, err error) {
+// recordFailure records an attempt without a usable response; the others continue.
+func (a *attempt) recordFailure(result step, err error) {
 	c := a.call
 	c.mu.Lock()
-	if c.over {
+	if c.done {
 		c.mu.Unlock()
 		return
 	}
-	c.asked = slices.DeleteFunc(c.asked, func(other *attempt) bool { return other == a })
+	c.pending = slices.DeleteFunc(c.pending, func(other *attempt) bool { return other == a })
 	if result == stepNotRun {
-		c.offered--
-		c.refused++
-		c.refusals[a.choice.server.ID] = clock.Now()
+		c.sends--
+		c.refusalCount++
+		c.refusedAt[a.choice.server.ID] = clock.Now()
 	}
-	c.failed = append(c.failed, failure{kept: a.got, result: result, err: err})
-	p, stays := c.passage, c.stays()
+	c.failures = append(c.failures, failure{response: a.complete, result: result, err: err})
+	s, continues := c.stream, c.continues()
 	c.mu.Unlock()
-	c.noteStep(a, result, err)
-	if stays {
+	c.recordResult(a, result, err)
+	if continues {
 		handovers("refused").Inc()
 	}
-	if p != nil {
-		p.release(a)
+	if s != nil {
+		s.flushFor(a)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tell()
+	c.notify()
 }
 
-// stays reports whether the request goes on at another server when an attempt has come to nothing, which is then the one that
-// the request's line names; mu is held.
-func (c *call) stays() bool {
+// continues reports whether another attempt is in progress, and if so makes its server the one that the request's log
+// line names; mu is held.
+func (c *call) continues() bool {
 	switch {
 	case c.winner != nil:
 		c.last = c.winner.choice
-	case len(c.asked) > 0:
-		c.last = c.asked[0].choice
+	case len(c.pending) > 0:
+		c.last = c.pending[0].choice
 	default:
 		return false
 	}
 	return true
 }
 
-// tell wakes the call's goroutine; mu is held.
-func (c *call) tell() {
+// notify wakes the call's goroutine; mu is held.
+func (c *call) notify() {
 	select {
-	case c.changed <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// asking reports whether an attempt may still answer, or has ended unseen.
-func (c *call) asking() bool {
+// inProgress reports whether an attempt may still respond or has an unhandled failure.
+func (c *call) inProgress() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.winner != nil || len(c.asked) > 0 || len(c.failed) > 0
+	return c.winner != nil || len(c.pending) > 0 || len(c.failures) > 0
 }
 
-// await waits until an attempt has begun to answer or has ended without; all end when the call's time does.
-func (c *call) await() (held *attempt, falls []failure) {
-	<-c.changed
+// waitResult waits until an attempt wins or fails; all fail at the call's deadline.
+func (c *call) waitResult() (winner *attempt, failures []failure) {
+	<-c.wake
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held, falls, c.failed = c.winner, c.failed, nil
-	return held, falls
+	winner, failures, c.failures = c.winner, c.failures, nil
+	return winner, failures
 }
 
-// end ends all that is still asked.
-func (c *call) end() {
+// finish cancels all pending attempts.
+func (c *call) finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.over = true
-	for _, a := range c.asked {
+	c.done = true
+	for _, a := range c.pending {
 		a.cancel(nil)
 	}
 }
 
-// listen starts the time in which the server has to be heard.
-func (a *attempt) listen(silence time.Duration) {
-	if a.quiet != nil {
-		a.listens.Store(true)
-		a.quiet.Reset(silence)
+// startSilenceTimer sets the timeout within which the server must send data.
+func (a *attempt) startSilenceTimer(silence time.Duration) {
+	if a.silenceTimer != nil {
+		a.awaitsData.Store(true)
+		a.silenceTimer.Reset(silence)
 	}
 }
 
-// heard ends the time in which the server has to be heard; while its answer waits for a slow caller it may be silent.
-func (a *attempt) heard() {
-	if a.quiet != nil {
-		a.listens.Store(false)
-		a.quiet.Stop()
+// stopSilenceTimer suspends the timeout: it doesn't apply while a slow caller reads.
+func (a *attempt) stopSilenceTimer() {
+	if a.silenceTimer != nil {
+		a.awaitsData.Store(false)
+		a.silenceTimer.Stop()
 	}
 }
 
-// silent has another server asked when the attempt's is silent for too long.
-func (a *attempt) silent() {
+// onSilence handles an expired silence timeout: it cancels the attempt if that delays the primary, and otherwise
+// hedges the request.
+func (a *attempt) onSilence() {
 	c := a.call
-	if !a.listens.Load() {
+	if !a.awaitsData.Load() {
 		return
 	}
-	err := &SilentError{Server: a.choice.server.ID}
-	if a.firstSilence() {
+	err := &SilentServerError{Server: a.choice.server.ID}
+	if a.markSilent() {
 		c.logEjection(a, a.choice.up.silent(clock.Now()), err.Error())
 	}
-	if a.heldUpFor() {
+	if a.delaysPrimary() {
 		a.cancel(err)
 		return
 	}
 	c.hedge(a, err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.listens.Load() && !c.over && (c.winner == a || slices.Contains(c.asked, a)) {
-		a.quiet.Reset(askAgain << min(c.refused, maxRefusals))
+	if a.awaitsData.Load() && !c.done && (c.winner == a || slices.Contains(c.pending, a)) {
+		a.silenceTimer.Reset(retryInterval << min(c.refusalCount, maxRefusals))
 	}
 }
 
-// heldUpFor reports whether a server at work has sent events that are kept back for the attempt.
-func (a *attempt) heldUpFor() bool {
+// delaysPrimary reports whether events of a working server are buffered because of the attempt.
+func (a *attempt) delaysPrimary() bool {
 	c := a.call
 	c.mu.Lock()
-	p, atWork := c.passage, a.hedges != nil && c.winner == a.hedges
+	s, working := c.stream, a.primary != nil && c.winner == a.primary
 	c.mu.Unlock()
-	return p != nil && atWork && p.waitsFor(a)
+	return s != nil && working && s.buffersFor(a)
 }
 
-// firstSilence notes that the server is silent, and reports whether it was not before.
-func (a *attempt) firstSilence() bool {
+// markSilent marks the server as silent and reports whether it was not before.
+func (a *attempt) markSilent() bool {
 	a.call.mu.Lock()
 	defer a.call.mu.Unlock()
-	first := !a.fellSilent
-	a.fellSilent, a.call.silence = true, true
+	first := !a.wasSilent
+	a.wasSilent, a.call.useNewConns = true, true
 	return first
 }
 
-// hedge sends the request to another server beside the attempt, when that one is the only one and the other will begin in
-// time.
+// hedge sends the request to a second server if a is the only attempt in progress and the second is predicted to
+// respond in time.
 func (c *call) hedge(a *attempt, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.passage
-	if c.over || !c.mayHedge() || !c.only(a) || c.winner != nil && (p == nil || !p.resumable()) {
+	s := c.stream
+	if c.done || !c.mayHedge() || !c.isOnly(a) || c.winner != nil && (s == nil || !s.resumable()) {
 		return
 	}
-	_, closes := cause.(*ClosingError)
-	ch, ok := c.chooseHedge(a, closes)
+	_, closing := cause.(*ClosingError)
+	ch, ok := c.chooseHedge(a, closing)
 	if !ok || !c.entry.budget.Again(c.service.Name, clock.Now()) {
 		return
 	}
-	c.urgent = c.urgent || closes || p != nil
-	b := c.begin(ch)
+	c.urgent = c.urgent || closing || s != nil
+	b := c.start(ch)
 	if b == nil {
 		return
 	}
 	c.entry.log.WithFields(log.Fields{
-		"id": c.ask.ID, "server": a.choice.server.ID, "to": b.choice.server.ID, "cause": cause.Error(), "begun": p != nil,
+		"id": c.ask.ID, "server": a.choice.server.ID, "to": b.choice.server.ID, "cause": cause.Error(), "begun": s != nil,
 	}).Info("forward: another server is asked")
 }
 
-// only reports whether the attempt is the only one in progress; mu is held.
-func (c *call) only(a *attempt) bool {
+// isOnly reports whether the attempt is the only one in progress; mu is held.
+func (c *call) isOnly(a *attempt) bool {
 	if c.winner != nil {
-		return c.winner == a && len(c.asked) == 0
+		return c.winner == a && len(c.pending) == 0
 	}
-	return len(c.asked) == 1 && c.asked[0] == a
+	return len(c.pending) == 1 && c.pending[0] == a
 }
 
-// readmit lets servers be asked again that have refused the request a while ago: what they had no room for may fit now. mu is
-// held.
+// readmit makes servers eligible again that refused the request a while ago and may have room now; mu is held.
 func (c *call) readmit(now time.Time) {
-	for id, at := range c.refusals {
-		if now.Sub(at) >= askAgain {
-			delete(c.refusals, id)
+	for id, at := range c.refusedAt {
+		if now.Sub(at) >= retryInterval {
+			delete(c.refusedAt, id)
 			delete(c.not, id)
 		}
 	}
 }
 
-// chooseHedge chooses the server that is asked beside an attempt; mu is held.
-func (c *call) chooseHedge(a *attempt, closes bool) (choice, bool) {
-	if !closes {
+// chooseHedge chooses the server for a hedged attempt; mu is held.
+func (c *call) chooseHedge(a *attempt, closing bool) (choice, bool) {
+	if !closing {
 		c.readmit(clock.Now())
 	}
 	want := c.wanted()
-	want.moves = false
-	want.urgent = c.urgent || closes || c.passage != nil
-	if c.passage != nil {
-		want.exact = c.passage.version
+	want.movable = false
+	want.urgent = c.urgent || closing || c.stream != nil
+	if c.stream != nil {
+		want.version = c.stream.version
 	}
-	if c.passage != nil && closes {
-		want.stays = turnMargin
+	if c.stream != nil && closing {
+		want.minOpen = minTurnLead
 	}
 	ch, ok := c.entry.choose(want, clock.Now())
-	if !ok || closes && (ch.first > a.moveLimit() || c.passage != nil && c.few(ch.among)) {
+	if !ok || closing && (ch.first > a.moveTimeLimit() || c.stream != nil && c.tooFewServers(ch.among)) {
 		return choice{}, false
 	}
 	return ch, true
--- a/forward/handover_faults_test.go
+++ b/forward/handover_faults_test.go
@@ -14,11 +14,11 @@
 	"github.com/apex/log/handlers/memory"
 )
 
-// TestAttemptThatStartsLateHoldsNothingBack proves that an attempt that was asked before the first event, and whose goroutine
-// gets its turn only after another one has begun to answer, keeps no event from the caller.
-func TestAttemptThatStartsLateHoldsNothingBack(t *testing.T) {
+// TestLateHedgeDoesNotBufferEvents checks that a hedged attempt whose goroutine starts only after another attempt has
+// won keeps no event from the caller.
+func TestLateHedgeDoesNotBufferEvents(t *testing.T) {
 	t.Parallel()
-	one := newFake(t, slowly("a", 10, 150*time.Millisecond))
+	one := newFake(t, paced("a", 10, 150*time.Millisecond))
 	two := newFake(t, refusing)
 	w := newEngineWorld(t, one.address, two.address)
 	w.report(1, true)
@@ -41,27 +41,27 @@
 		for b == nil {
 			time.Sleep(time.Millisecond)
 			c.mu.Lock()
-			if len(c.asked) == 1 {
-				// As offer does, but for the start of the goroutine.
+			if len(c.pending) == 1 {
+				// This is what call.start does, without starting the goroutine.
 				w.report(1, false)
 				ch, ok := c.entry.choose(c.wanted(), time.Now())
 				if !ok {
 					t.Error("no second server")
 				}
-				b = &attempt{call: c, choice: ch, ticket: ch.up.take(0, ch.first, 1, time.Now()), hedges: c.winner}
+				b = &attempt{call: c, choice: ch, ticket: ch.up.take(0, ch.first, 1, time.Now()), primary: c.winner}
 				b.ctx, b.cancel = context.WithCancelCause(c.ctx)
-				c.offered++
+				c.sends++
 				c.not[ch.server.ID] = true
-				c.asked = append(c.asked, b)
+				c.pending = append(c.pending, b)
 			}
 			c.mu.Unlock()
 		}
-		for b.passage() == nil {
+		for b.callerStream() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		b.run()
 	}()
-	at, err := arrivalsOf(t, front.URL, "/stream/a")
+	at, err := eventTimes(t, front.URL, "/stream/a")
 	if err != nil || len(at) != 10 {
 		t.Fatalf("%d events, %v", len(at), err)
 	}
@@ -70,8 +70,9 @@
 	}
 }
 
-// TestStreamThatBeganAtTheEndOfTimeIsNoRefusal proves that a request whose server has begun to answer is not said to be not run.
-func TestStreamThatBeganAtTheEndOfTimeIsNoRefusal(t *testing.T) {
+// TestStreamStartedAtDeadlineIsNotReportedNotRun checks that a request is not reported as not run once its server has
+// begun to respond.
+func TestStreamStartedAtDeadlineIsNotReportedNotRun(t *testing.T) {
 	t.Parallel()
 	one := newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(200 * time.Millisecond)
@@ -80,32 +81,32 @@
 	w := newEngineWorld(t, one.address)
 	up := w.entry.upstreams.of("s")[0]
 	time.AfterFunc(100*time.Millisecond, func() {
-		// Whatever else keeps the goroutine from its turn does the same.
+		// Holding the mutex delays the attempt's goroutine.
 		up.mu.Lock()
 		time.Sleep(400 * time.Millisecond)
 		up.mu.Unlock()
 	})
 	got := w.ask(http.MethodPost, "/stream/once/a", "x", map[string]string{"Wait": "350"})
 	if got.status == http.StatusServiceUnavailable {
-		t.Errorf("status %d, %q: it has run, once, and may not be repeated", got.status, got.body)
+		t.Errorf("status %d, %q: the request has run and may not be repeated", got.status, got.body)
 	}
 }
 
-// TestEventsWithoutIDsAreNotPassedTwice proves that a stream that can't be taken up is not moved.
+// TestEventsWithoutIDsAreNotPassedTwice checks that a stream that can't be resumed is not moved.
 func TestEventsWithoutIDsAreNotPassedTwice(t *testing.T) {
 	t.Parallel()
-	unnamed := func(pause time.Duration) answering {
+	withoutIDs := func(pause time.Duration) answering {
 		return func(conn net.Conn, _ int, _ *http.Request) bool {
-			raw(conn, fmt.Sprintf(streamHead, "a"))
+			raw(conn, fmt.Sprintf(streamHeader, "a"))
 			for i := range 6 {
 				time.Sleep(pause)
-				chunk(conn, fmt.Sprintf("data: e%d\n\n", i+1))
+				writeChunk(conn, fmt.Sprintf("data: e%d\n\n", i+1))
 			}
 			finish(conn)
 			return false
 		}
 	}
-	both := firstThen(unnamed(200*time.Millisecond), unnamed(0))
+	both := firstThen(withoutIDs(200*time.Millisecond), withoutIDs(0))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	time.AfterFunc(300*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
@@ -116,8 +117,9 @@
 	}
 }
 
-// TestSlowCallerIsNotHeldAgainstItsServer proves that a server that has answered whole does not count as silent.
-func TestSlowCallerIsNotHeldAgainstItsServer(t *testing.T) {
+// TestSlowCallerDoesNotEjectServer checks that a server whose complete response awaits a slow caller does not count
+// as silent.
+func TestSlowCallerDoesNotEjectServer(t *testing.T) {
 	t.Parallel()
 	const size = 15 << 20
 	one := newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
@@ -137,12 +139,12 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if !up.ejectedUntil.IsZero() {
-		t.Errorf("left alone with %d failures since its caller reads slowly", up.failures)
+		t.Errorf("ejected with %d failures because its caller reads slowly", up.failures)
 	}
 }
 
-// TestLongAnswerIsNotSilence proves that a server whose whole answer takes longer to come than it may be silent keeps the request,
-// and is not ejected, as long as something comes.
+// TestLongAnswerIsNotSilence checks that a server keeps the request, and is not ejected, while a response that takes
+// longer than the silence timeout still makes progress.
 func TestLongAnswerIsNotSilence(t *testing.T) {
 	t.Parallel()
 	const pieces, pause = 8, 300 * time.Millisecond
@@ -167,24 +169,24 @@
 	}
 	for _, up := range w.entry.upstreams.of("s") {
 		if up.failures > 0 {
-			t.Errorf("its server counts %d failures", up.failures)
+			t.Errorf("the server has %d failures, want 0", up.failures)
 		}
 	}
 }
 
-// TestTheOnlyOneLeftIsNotGivenUp proves that a server that was asked beside another one is not given up as silent once the
-// other one has broken off: nothing else holds the answer then.
-func TestTheOnlyOneLeftIsNotGivenUp(t *testing.T) {
+// TestLastAttemptIsNotCancelledAsSilent checks that a silent hedged attempt is not cancelled once it is the only one
+// left.
+func TestLastAttemptIsNotCancelledAsSilent(t *testing.T) {
 	t.Parallel()
-	breaksLate := streaming("a", 0, func(conn net.Conn) {
+	breaksOffLate := streaming("a", 0, func(conn net.Conn) {
 		for i := 1; i <= 4; i++ {
 			time.Sleep(200 * time.Millisecond)
 			events(conn, i, i)
 		}
-		breaks(conn)
+		breakOff(conn)
 	})
-	// The next server is asked after 500 ms and counts as silent 0.9 s later.
-	both := firstThen(breaksLate, dumb("b", 1300*time.Millisecond))
+	// The second server is tried after 500 ms and counts as silent 0.9 s later.
+	both := firstThen(breaksOffLate, delayed("b", 1300*time.Millisecond))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
@@ -194,14 +196,14 @@
 	}
 }
 
-// TestFirstEventOfAnotherVersion proves that a request is answered, or refused, when nothing of the first server's stream can be
-// passed on.
-func TestFirstEventOfAnotherVersion(t *testing.T) {
-	for name, path := range map[string]string{"may go on": "/stream/a", "may not": "/stream/once/a"} {
+// TestFirstEventWithAnotherVersion checks that a request is answered or refused when no event of the first server's
+// stream can be relayed.
+func TestFirstEventWithAnotherVersion(t *testing.T) {
+	for name, path := range map[string]string{"resumable": "/stream/a", "not resumable": "/stream/once/a"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			both := firstThen(streaming("a", 0, func(conn net.Conn) {
-				chunk(conn, "version: 9\nid: 1\ndata: x\n\n")
+				writeChunk(conn, "version: 9\nid: 1\ndata: x\n\n")
 				time.Sleep(time.Second)
 			}), streaming("b", 6, finish))
 			one, two := newFake(t, both), newFake(t, both)
@@ -213,10 +215,11 @@
 	}
 }
 
-// TestLineNamesTheServerThatAnswered proves that one that refused beside it does not stand in the request's line.
-func TestLineNamesTheServerThatAnswered(t *testing.T) {
+// TestLogLineNamesRespondingServer checks that the request's log line does not name a server that refused a hedged
+// attempt.
+func TestLogLineNamesRespondingServer(t *testing.T) {
 	t.Parallel()
-	both := firstThen(slowly("a", 8, 150*time.Millisecond), refusing)
+	both := firstThen(paced("a", 8, 150*time.Millisecond), refusing)
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	lines := memory.New()
@@ -233,15 +236,15 @@
 	want := serverName(<-first)
 	for _, line := range lines.Entries {
 		if line.Message == "request" && line.Fields["server"] != want {
-			t.Errorf("the line names %v, %v answered", line.Fields["server"], want)
+			t.Errorf("the line names %v, but %v responded", line.Fields["server"], want)
 		}
 	}
 }
 
-// TestRefusalsAreNotForGood proves that the time in which a place is looked for is worth something where all others have refused.
-func TestRefusalsAreNotForGood(t *testing.T) {
+// TestRefusingServersAreRetried checks that servers that refused the request are tried again within resumeTimeout.
+func TestRefusingServersAreRetried(t *testing.T) {
 	t.Parallel()
-	both := firstThen(streaming("a", 3, breaks), firstThen(refusing, streaming("b", 6, finish)))
+	both := firstThen(streaming("a", 3, breakOff), firstThen(refusing, streaming("b", 6, finish)))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.err != nil || got.body != all(6) {
--- a/forward/handover_more_test.go
+++ b/forward/handover_more_test.go
@@ -19,8 +19,8 @@
 	"github.com/coralstair/coralstair/retry"
 )
 
-// arrivalsOf reads a stream of "data:" lines and returns when each came, counted from the request on.
-func arrivalsOf(t *testing.T, url, path string) (at []time.Duration, err error) {
+// eventTimes reads a stream and returns when each event arrived, from the start of the request.
+func eventTimes(t *testing.T, url, path string) (at []time.Duration, err error) {
 	t.Helper()
 	started := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url+path, strings.NewReader("x"))
@@ -50,7 +50,6 @@
 	}
 }
 
-// longestPause returns the longest time between two events.
 func longestPause(at []time.Duration) (longest time.Duration) {
 	for i := 1; i < len(at); i++ {
 		longest = max(longest, at[i]-at[i-1])
@@ -58,27 +57,27 @@
 	return longest
 }
 
-// TestHeldEventsComeInTime proves that events that are kept back for another server come as soon as it is known that this one
-// does not take over.
-func TestHeldEventsComeInTime(t *testing.T) {
+// TestBufferedEventsAreFlushedInTime checks that events buffered for a hedged attempt are written as soon as it
+// fails.
+func TestBufferedEventsAreFlushedInTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		second answering
 		pause  time.Duration
 	}{
-		"the next server refuses": {refusing, 300 * time.Millisecond},
-		"the next server refuses from its queue": {func(conn net.Conn, n int, r *http.Request) bool {
+		"second server refuses": {refusing, 300 * time.Millisecond},
+		"second server refuses after queueing": {func(conn net.Conn, n int, r *http.Request) bool {
 			time.Sleep(300 * time.Millisecond)
 			return refusing(conn, n, r)
 		}, 500 * time.Millisecond},
-		"the next server says nothing": {dumb("b", 5*time.Second), 1200 * time.Millisecond},
+		"second server is silent": {delayed("b", 5*time.Second), 1200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			both := firstThen(slowly("a", 20, 100*time.Millisecond), test.second)
+			both := firstThen(paced("a", 20, 100*time.Millisecond), test.second)
 			one, two := newFake(t, both), newFake(t, both)
 			w := newEngineWorld(t, one.address, two.address)
 			time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
-			at, err := arrivalsOf(t, w.url, "/stream/a")
+			at, err := eventTimes(t, w.url, "/stream/a")
 			if err != nil || len(at) != 20 || one.arrivals()+two.arrivals() != 2 {
 				t.Fatalf("%d events, %v", len(at), err)
 			}
@@ -89,18 +88,19 @@
 	}
 }
 
-// TestNoServerWorksOnInVain proves that servers that do not answer are told once another has, or the caller is gone.
-func TestNoServerWorksOnInVain(t *testing.T) {
+// TestLosingAttemptsAreCancelled checks that servers are told to stop once another one has won or the caller has
+// left.
+func TestLosingAttemptsAreCancelled(t *testing.T) {
 	for name, test := range map[string]struct {
-		// first and second are after how long the first event comes.
+		// first and second are the times to the first event.
 		first, second time.Duration
 		closes        bool
 		leaves        time.Duration
 	}{
-		"the second is quicker":      {first: 5 * time.Second, second: 100 * time.Millisecond},
-		"the first is quicker":       {first: 1200 * time.Millisecond, second: 5 * time.Second},
-		"moved before its event":     {first: 5 * time.Second, second: 100 * time.Millisecond, closes: true},
-		"the caller leaves two dumb": {first: 5 * time.Second, second: 5 * time.Second, leaves: 1500 * time.Millisecond},
+		"second responds first":    {first: 5 * time.Second, second: 100 * time.Millisecond},
+		"first responds first":     {first: 1200 * time.Millisecond, second: 5 * time.Second},
+		"moved before first event": {first: 5 * time.Second, second: 100 * time.Millisecond, closes: true},
+		"caller leaves two silent": {first: 5 * time.Second, second: 5 * time.Second, leaves: 1500 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -135,7 +135,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 			if n := atWork.Load(); n != 0 || one.arrivals()+two.arrivals() != 2 {
-				t.Errorf("%d of %d servers work on", n, one.arrivals()+two.arrivals())
+				t.Errorf("%d of %d servers still work", n, one.arrivals()+two.arrivals())
 			}
 		})
 	}
@@ -146,16 +146,16 @@
 	return ok && netErr.Timeout()
 }
 
-// tellingWire tells servers the version too.
-type tellingWire struct{ testWire }
+// versionWire also sends the version to servers.
+type versionWire struct{ testWire }
 
-func (tellingWire) Outgoing(h http.Header, send Send) {
+func (versionWire) Outgoing(h http.Header, send Send) {
 	testWire{}.Outgoing(h, send)
 	h.Set("Version", strconv.Itoa(int(send.Version)))
 }
 
-// TestTakenUpExactlyAfterTheLastEvent proves that a stream goes on right after the last event that the caller had from the first
-// server, with the second's events and the same version, though the first one has sent more meanwhile.
+// TestTakenUpExactlyAfterTheLastEvent checks that a stream resumes at the second server right after the caller's last
+// event, on the same version, even if the first server has sent more meanwhile.
 func TestTakenUpExactlyAfterTheLastEvent(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -167,10 +167,10 @@
 			mu.Unlock()
 			from, _ := strconv.Atoi(r.Header.Get("Last"))
 			time.Sleep(before)
-			raw(conn, fmt.Sprintf(streamHead, name))
+			raw(conn, fmt.Sprintf(streamHeader, name))
 			for i := from + 1; i <= 20; i++ {
 				time.Sleep(pause)
-				chunk(conn, fmt.Sprintf("id: %d\ndata: %s%d\n\n", i, name, i))
+				writeChunk(conn, fmt.Sprintf("id: %d\ndata: %s%d\n\n", i, name, i))
 			}
 			finish(conn)
 			return false
@@ -179,7 +179,7 @@
 	both := firstThen(named("a", 0, 80*time.Millisecond), named("b", 250*time.Millisecond, 0))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
-	w.entry.cfg.Wire = tellingWire{}
+	w.entry.cfg.Wire = versionWire{}
 	time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 	mu.Lock()
@@ -197,17 +197,17 @@
 		fmt.Fprintf(&want, "id: %d\ndata: %s%d\n\n", i, name, i)
 	}
 	if got.err != nil || last == 0 || got.body != want.String() {
-		t.Errorf("asked after %d; body %q, error %v", last, got.body, got.err)
+		t.Errorf("resumed after %d; body %q, error %v", last, got.body, got.err)
 	}
 	if heads[0].Get("Version") != "0" || heads[1].Get("Version") != "1" {
-		t.Errorf("asked with versions %s and %s", heads[0].Get("Version"), heads[1].Get("Version"))
+		t.Errorf("sent with versions %s and %s", heads[0].Get("Version"), heads[1].Get("Version"))
 	}
 }
 
-// TestStreamsGoOnAtTheirVersionOnly proves that no server of another version is asked for the rest.
-func TestStreamsGoOnAtTheirVersionOnly(t *testing.T) {
+// TestStreamResumesOnSameVersionOnly checks that a stream is not moved to a server of another version.
+func TestStreamResumesOnSameVersionOnly(t *testing.T) {
 	t.Parallel()
-	both := firstThen(slowly("a", 10, 100*time.Millisecond), streaming("b", 10, finish))
+	both := firstThen(paced("a", 10, 100*time.Millisecond), streaming("b", 10, finish))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	time.AfterFunc(150*time.Millisecond, func() {
@@ -220,20 +220,20 @@
 	}
 }
 
-// TestBoundsOfHandovers proves how many servers at most are asked while the first is silent.
-func TestBoundsOfHandovers(t *testing.T) {
+// TestHandoverAttemptLimits checks how many servers are tried at most while the first one is silent.
+func TestHandoverAttemptLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		second answering
 		budget *retry.Budget
 		want   int
 	}{
-		"no budget":               {refusing, retry.NewBudget(0, 0, time.Second), 1},
-		"as many as the attempts": {dumb("b", 2800*time.Millisecond), retry.NewBudget(1, 100, time.Second), 2},
-		"so many refusals":        {refusing, retry.NewBudget(1, 100, time.Second), 1 + maxRefusals},
+		"no budget":                 {refusing, retry.NewBudget(0, 0, time.Second), 1},
+		"as many as route attempts": {delayed("b", 2800*time.Millisecond), retry.NewBudget(1, 100, time.Second), 2},
+		"maxRefusals":               {refusing, retry.NewBudget(1, 100, time.Second), 1 + maxRefusals},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			each := firstThen(dumb("a", 2500*time.Millisecond), test.second)
+			each := firstThen(delayed("a", 2500*time.Millisecond), test.second)
 			fakes, addresses := make([]*fake, 8), make([]string, 8)
 			for i := range fakes {
 				fakes[i] = newFake(t, each)
@@ -253,8 +253,8 @@
 	}
 }
 
-// TestRandomHandovers plays many streams at servers that close, refuse, break off and fall silent at random, and looks at what
-// callers get, who has run what, and what stays.
+// TestRandomHandovers runs many streams against servers that close, refuse, break off and stall at random. It checks
+// the received bodies, the number of runs, and that no work or goroutine remains.
 func TestRandomHandovers(t *testing.T) {
 	for _, attempts := range []int{2, 3} {
 		t.Run(strconv.Itoa(attempts), func(t *testing.T) { randomHandovers(t, attempts) })
@@ -305,12 +305,12 @@
 			}
 			switch {
 			case pick == 6 && rand.IntN(4) == 0:
-				chunk(conn, "id: 1")
+				writeChunk(conn, "id: 1")
 				return reset(conn)
 			case pick == 7 && rand.IntN(4) == 0 && !wait(1200*time.Millisecond):
 				return false
 			}
-			chunk(conn, fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
+			writeChunk(conn, fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
 		}
 		finish(conn)
 		return false
@@ -329,7 +329,7 @@
 		defer close(reported)
 		for {
 			for i := range servers {
-				// Reports live for 1.5 s.
+				// Reports expire after 1.5 s.
 				w.heard(i, link.Report{Closing: rand.IntN(3) == 0})
 			}
 			select {
@@ -346,7 +346,7 @@
 			for round := range rounds {
 				id := fmt.Sprintf("r%d-%d", caller, round)
 				if caller%4 == 0 {
-					leave(w, id)
+					abandonStream(w, id)
 					continue
 				}
 				got := w.ask(http.MethodPost, "/stream/a", "x", map[string]string{"Id": id})
@@ -379,7 +379,7 @@
 	mu.Unlock()
 	time.Sleep(300 * time.Millisecond)
 	if n := atWork.Load(); n != 0 {
-		t.Errorf("%d servers work on", n)
+		t.Errorf("%d servers still work", n)
 	}
 	for deadline := time.Now().Add(3 * time.Second); runtime.NumGoroutine() > before+20; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -387,11 +387,11 @@
 			break
 		}
 	}
-	t.Logf("whole %d, cut %d, refused %d; taken %d, left %d", whole.Load(), cut.Load(), refused.Load(), handovers("taken").Get(), handovers("refused").Get())
+	t.Logf("whole %d, cut %d, refused %d; handovers taken %d, refused %d", whole.Load(), cut.Load(), refused.Load(), handovers("taken").Get(), handovers("refused").Get())
 }
 
-// leave sends a request, reads little of its answer and closes the connection.
-func leave(w *world, id string) {
+// abandonStream sends a request, reads little of the response and closes the connection.
+func abandonStream(w *world, id string) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		w.t.Error(err)
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -9,18 +9,14 @@
 	"time"
 )
 
-// What callers saw: beside planned work (a new version, a change of the configuration) streams broke off in the middle of an
-// answer, and nothing told why. The order of events: the box of a server says that it closes to load a version; the entry ends
-// the stream there, though the server was well, and asks another for the rest; that one had got its own order to load 5 ms
-// before and says that it does not run it; the refusal has used up the attempts of the route, so the caller's connection is
-// closed. The cause: an answer was given up before anything else held it. The evidence: all seven cut streams of one day had
-// these two tries, and the log of the box beside the second server has the order to load right before.
+// Regression: streams were cut while servers loaded a new version, because an attempt was given up before another
+// server had begun to respond, and the server tried next refused.
 
-// refusing is a server that runs nothing.
+// refuseNotRun refuses every request without running it.
 var refusing = saying("HTTP/1.1 503 No\nId: r1\nNot-Run: 1\nContent-Length: 0\n\n")
 
-// slowly streams one event each pause, up to one.
-func slowly(seal string, to int, pause time.Duration) answering {
+// paced streams one event after each pause.
+func paced(seal string, to int, pause time.Duration) answering {
 	return streaming(seal, 0, func(conn net.Conn) {
 		for i := 1; i <= to; i++ {
 			time.Sleep(pause)
@@ -30,32 +26,32 @@
 	})
 }
 
-// dumb answers after so long with all events.
-func dumb(seal string, after time.Duration) answering {
+// delayed sends all events after a delay.
+func delayed(seal string, after time.Duration) answering {
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(after)
 		return streaming(seal, 6, finish)(conn, n, r)
 	}
 }
 
-// TestNothingIsGivenUpBeforeAnotherHoldsIt proves that a request stays with its server, as long as that one is at work, until
-// another server has begun to answer it.
+// TestNothingIsGivenUpBeforeAnotherHoldsIt checks that a request stays with a working server until another one has
+// begun to respond.
 func TestNothingIsGivenUpBeforeAnotherHoldsIt(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	for name, test := range map[string]struct {
 		first, second answering
-		// closes says that the box of the first server says so after 100 ms.
+		// closes has the first server's box report closing after 100 ms.
 		closes bool
 		seal   string
 	}{
-		"the next server refuses the rest of a stream":        {first: slowly("a", 6, pause), second: refusing, closes: true, seal: "a"},
-		"the next server breaks off":                          {first: slowly("a", 6, pause), second: streaming("b", 0, breaks), closes: true, seal: "a"},
-		"the next server says nothing":                        {first: slowly("a", 6, pause), second: dumb("b", 2*time.Second), closes: true, seal: "a"},
-		"the next server refuses what has no event yet":       {first: dumb("a", 900*time.Millisecond), second: refusing, closes: true, seal: "a"},
-		"the first event comes late, others refuse":           {first: dumb("a", 1400*time.Millisecond), second: refusing, seal: "a"},
-		"a pause is long, others refuse":                      {first: pausing("a", 3, 6, 1400*time.Millisecond), second: refusing, seal: "a"},
-		"the first event comes late, another is quicker":      {first: dumb("a", 2500*time.Millisecond), second: streaming("b", 6, finish), seal: "b"},
-		"the stream is over before the next server has begun": {first: slowly("a", 6, 100*time.Millisecond), second: dumb("b", time.Second), closes: true, seal: "a"},
+		"second server refuses the rest of a stream":    {first: paced("a", 6, pause), second: refusing, closes: true, seal: "a"},
+		"second server breaks off":                      {first: paced("a", 6, pause), second: streaming("b", 0, breakOff), closes: true, seal: "a"},
+		"second server is silent":                       {first: paced("a", 6, pause), second: delayed("b", 2*time.Second), closes: true, seal: "a"},
+		"second server refuses before the first event":  {first: delayed("a", 900*time.Millisecond), second: refusing, closes: true, seal: "a"},
+		"late first event, others refuse":               {first: delayed("a", 1400*time.Millisecond), second: refusing, seal: "a"},
+		"long pause, others refuse":                     {first: pausing("a", 3, 6, 1400*time.Millisecond), second: refusing, seal: "a"},
+		"late first event, another responds first":      {first: delayed("a", 2500*time.Millisecond), second: streaming("b", 6, finish), seal: "b"},
+		"stream ends before the second server responds": {first: paced("a", 6, 100*time.Millisecond), second: delayed("b", time.Second), closes: true, seal: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -73,7 +69,7 @@
 	}
 }
 
-// TestLateWholeAnswer proves the same of an answer that is not a stream.
+// TestLateWholeAnswer checks the same for a response that is not a stream.
 func TestLateWholeAnswer(t *testing.T) {
 	t.Parallel()
 	late := func(conn net.Conn, n int, r *http.Request) bool {
@@ -88,11 +84,11 @@
 	}
 }
 
-// TestRefusalsUseUpNoAttempt proves that a server that did not run a request does not count as one that it went to.
+// TestRefusalsUseUpNoAttempt checks that a server that did not run a request does not count as an attempt.
 func TestRefusalsUseUpNoAttempt(t *testing.T) {
 	for name, first := range map[string]answering{
-		"a stream that breaks off":      streaming("a", 3, breaks),
-		"a request that gets no answer": func(conn net.Conn, _ int, _ *http.Request) bool { return reset(conn) },
+		"stream breaks off": streaming("a", 3, breakOff),
+		"no response":       func(conn net.Conn, _ int, _ *http.Request) bool { return reset(conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -107,8 +103,8 @@
 	}
 }
 
-// TestSecondSendAfterASilenceTakesANewConnection proves that a request whose connection has gone silent is not sent on another
-// kept one, which may be silent too: all that were open may go silent at once, while new ones work.
+// TestSecondSendAfterASilenceTakesANewConnection checks that a retry after a silence opens a new connection: the
+// other open ones may be dead too.
 func TestSecondSendAfterASilenceTakesANewConnection(t *testing.T) {
 	t.Parallel()
 	var silent atomic.Bool
--- a/forward/held.go
+++ b/forward/held.go
@@ -2,46 +2,45 @@
 
 import "github.com/coralstair/coralstair/quarantine"
 
-// A request under which servers have ended goes to no more of them: 20 servers ended 41 times under one caller's request that came
-// again at all entries, and with them up to 15 other requests each time.
+// A request during which servers repeatedly exited is quarantined: it is sent to no more of them.
 
-// fingerprint tells the request when it comes again.
+// fingerprint identifies repeated sends of the same request.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	c.printOnce.Do(func() {
+	c.fpOnce.Do(func() {
 		caller := c.teamName()
 		if caller == "" {
 			caller = c.ask.Key
 		}
-		c.print = quarantine.FingerprintOf(caller, c.r.Method, c.r.Host, c.r.RequestURI, c.body)
+		c.fp = quarantine.FingerprintOf(caller, c.r.Method, c.r.Host, c.r.RequestURI, c.body)
 	})
-	return c.print
+	return c.fp
 }
 
-// held reports whether the request goes to no more servers.
-func (c *call) held() bool { return c.entry.cfg.Quarantine.Held(c.fingerprint) }
+func (c *call) quarantined() bool { return c.entry.cfg.Quarantine.Held(c.fingerprint) }
 
-// noteAnswered notes that a server has answered the request; while no server has ended there is nothing to explain.
-func (c *call) noteAnswered() {
+// recordResponse tells the quarantine that a server responded to the request; without recorded exits there is nothing
+// to clear.
+func (c *call) recordResponse() {
 	if q := c.entry.cfg.Quarantine; !q.Empty() {
 		q.Answered(c.fingerprint())
 	}
 }
 
-// takeBackHeld takes requests that are held now away from servers that have not begun to answer: one that waits there has not
-// ended its server yet.
+// cancelQuarantined cancels attempts of quarantined requests that have no response yet: one that still waits has not
+// caused an exit.
 func (e *Entry) takeBackHeld() {
 	for _, c := range e.calls.list() {
-		if c.held() {
-			c.takeBack(&HeldError{})
+		if c.quarantined() {
+			c.cancelPending(&QuarantinedError{})
 		}
 	}
 }
 
-// takeBack ends the attempts whose servers have not begun to answer.
-func (c *call) takeBack(cause error) {
+// cancelPending cancels the attempts whose servers have not begun to respond.
+func (c *call) cancelPending(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, a := range c.asked {
+	for _, a := range c.pending {
 		a.cancel(cause)
 	}
 }
--- a/forward/held_test.go
+++ b/forward/held_test.go
@@ -11,26 +11,25 @@
 	"github.com/coralstair/coralstair/quarantine"
 )
 
-// mortals are servers of a test, which end when they run a request whose path says so, some time after it has come.
-type mortals struct {
-	mu   sync.Mutex
-	ends int
-	all  []*fake
+// crashingServers are fake servers that exit some time after a request whose path contains "deadly".
+type crashingServers struct {
+	mu    sync.Mutex
+	exits int
+	all   []*fake
 }
 
-// newMortals starts servers.
-func newMortals(t *testing.T, n int, life time.Duration) *mortals {
+func newCrashingServers(t *testing.T, n int, delay time.Duration) *crashingServers {
 	t.Helper()
-	m := &mortals{}
+	m := &crashingServers{}
 	for range n {
 		var server *fake
 		server = newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
 			if !strings.Contains(r.URL.Path, "deadly") {
 				return good(conn, n, r)
 			}
-			time.Sleep(life)
+			time.Sleep(delay)
 			m.mu.Lock()
-			m.ends++
+			m.exits++
 			m.mu.Unlock()
 			server.end()
 			return false
@@ -40,7 +39,7 @@
 	return m
 }
 
-func (m *mortals) addresses() []string {
+func (m *crashingServers) addresses() []string {
 	var addresses []string
 	for _, server := range m.all {
 		addresses = append(addresses, server.address)
@@ -48,15 +47,14 @@
 	return addresses
 }
 
-// ended returns how many of them have ended.
-func (m *mortals) ended() int {
+func (m *crashingServers) exited() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ends
+	return m.exits
 }
 
-// arrivals returns how many requests came to all of them.
-func (m *mortals) arrivals() int {
+// arrivals returns the number of requests at all servers.
+func (m *crashingServers) arrivals() int {
 	n := 0
 	for _, server := range m.all {
 		n += server.arrivals()
@@ -64,35 +62,36 @@
 	return n
 }
 
-// TestServersEndUnderARequest proves that a request under which three servers have ended goes to no more of them, whether it may
-// run twice, and that all others are served.
+// TestServersEndUnderARequest checks that a request during which three servers have exited is sent to no more of
+// them, and that other requests are served.
 func TestServersEndUnderARequest(t *testing.T) {
-	for name, path := range map[string]string{"one that may run twice": "/safe/", "one that may not": "/once/", "a stream": "/stream/"} {
+	for name, path := range map[string]string{"repeatable": "/safe/", "not repeatable": "/once/", "stream": "/stream/"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			servers := newMortals(t, 6, 0)
+			servers := newCrashingServers(t, 6, 0)
 			w := newWorld(t, false, servers.addresses()...)
 			for n := range 8 {
 				got := w.ask(http.MethodPost, path+"deadly", "x", nil)
 				time.Sleep(2 * endGather)
 				held := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 				if n >= 3 && !held {
-					t.Errorf("the %d. time: status %d", n+1, got.status)
+					t.Errorf("send %d: status %d, want 503 with Retry-After", n+1, got.status)
 				}
 			}
-			if ends := servers.ended(); ends != 3 || servers.arrivals() != 3 {
-				t.Errorf("%d servers ended, want 3; %d arrivals", ends, servers.arrivals())
+			if ends := servers.exited(); ends != 3 || servers.arrivals() != 3 {
+				t.Errorf("%d servers exited, want 3; %d arrivals", ends, servers.arrivals())
 			}
 			if got := w.ask(http.MethodPost, path+"other", "x", nil); got.status != http.StatusOK {
-				t.Errorf("another request: status %d", got.status)
+				t.Errorf("another request got status %d", got.status)
 			}
 		})
 	}
 }
 
-// TestHeldRequestsAreTakenBack proves that a request that waits at servers when it is held is taken away from there.
+// TestHeldRequestsAreTakenBack checks that attempts without a response are cancelled when their request is
+// quarantined.
 func TestHeldRequestsAreTakenBack(t *testing.T) {
-	servers := newMortals(t, 2, time.Second)
+	servers := newCrashingServers(t, 2, time.Second)
 	w := newWorld(t, false, servers.addresses()...)
 	answered := make(chan result)
 	go func() { answered <- w.ask(http.MethodPost, "/safe/deadly", "x", nil) }()
@@ -104,22 +103,23 @@
 	}
 	got := <-answered
 	if took := time.Since(began); got.status != http.StatusBadGateway || took > 300*time.Millisecond {
-		t.Errorf("status %d after %s, want 502 at once: it may have run", got.status, took)
+		t.Errorf("status %d after %s, want 502 at once: the request may have run", got.status, took)
 	}
 	if n := servers.arrivals(); n != 1 {
-		t.Errorf("it came to %d servers", n)
+		t.Errorf("the request was sent to %d servers, want 1", n)
 	}
 }
 
-// TestAnsweredRequestsAreNotHeld proves that a request that was at servers as they ended, and is answered now and then, is served.
+// TestAnsweredRequestsAreNotHeld checks that a request that is still answered now and then is served despite the
+// exits.
 func TestAnsweredRequestsAreNotHeld(t *testing.T) {
-	servers := newMortals(t, 1, 0)
+	servers := newCrashingServers(t, 1, 0)
 	w := newWorld(t, false, servers.addresses()...)
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/popular", []byte("x"))
 	for _, life := range []string{"1", "2", "3", "4", "5"} {
 		w.entry.cfg.Quarantine.Ended(life, []quarantine.Fingerprint{request})
 		if got := w.ask(http.MethodPost, "/safe/popular", "x", nil); got.status != http.StatusOK {
-			t.Fatalf("status %d after the end of life %s", got.status, life)
+			t.Fatalf("status %d after the exit of incarnation %s", got.status, life)
 		}
 	}
 }
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -12,29 +12,29 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// ranks are those with which requests arrive at servers.
-type ranks struct {
+// priorities records the priorities of requests that arrive at servers.
+type priorities struct {
 	mu   sync.Mutex
 	seen []string
 }
 
-// noted notes the rank of a request before it is answered.
-func (rs *ranks) noted(answer answering) answering {
+// recorded records a request's priority before it is answered.
+func (p *priorities) recorded(answer answering) answering {
 	return func(conn net.Conn, n int, r *http.Request) bool {
-		rs.mu.Lock()
-		rs.seen = append(rs.seen, r.Header.Get("Rank"))
-		rs.mu.Unlock()
+		p.mu.Lock()
+		p.seen = append(p.seen, r.Header.Get("Rank"))
+		p.mu.Unlock()
 		return answer(conn, n, r)
 	}
 }
 
-func (rs *ranks) last() string {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if len(rs.seen) == 0 {
+func (p *priorities) last() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.seen) == 0 {
 		return ""
 	}
-	return rs.seen[len(rs.seen)-1]
+	return p.seen[len(p.seen)-1]
 }
 
 func TestMove(t *testing.T) {
@@ -42,36 +42,36 @@
 	for name, test := range map[string]struct {
 		path  string
 		first answering
-		// alone says that the other server closes too, opens that it does not any more after a time.
+		// alone has the other server close too; opens is when it takes requests again.
 		alone bool
 		opens time.Duration
-		// closes is how soon the other server's turn to load comes.
+		// closes is the time until the other server closes to load.
 		closes time.Duration
 		seal   string
 		moved  bool
 	}{
-		"a stream goes on elsewhere": {path: "/stream/a", first: pausing("a", 3, 6, long), seal: "a", moved: true},
-		"a request without an event begins anew": {path: "/stream/a", first: func(conn net.Conn, n int, r *http.Request) bool {
+		"stream moves": {path: "/stream/a", first: pausing("a", 3, 6, long), seal: "a", moved: true},
+		"request without an event restarts": {path: "/stream/a", first: func(conn net.Conn, n int, r *http.Request) bool {
 			time.Sleep(long)
 			return streaming("a", 6, finish)(conn, n, r)
 		}, seal: "b", moved: true},
-		"nowhere to go": {path: "/stream/a", first: pausing("a", 3, 6, 400*time.Millisecond), alone: true, seal: "a"},
-		"a place is found later": {
+		"no other server": {path: "/stream/a", first: pausing("a", 3, 6, 400*time.Millisecond), alone: true, seal: "a"},
+		"server found later": {
 			path: "/stream/a", first: pausing("a", 3, 6, 750*time.Millisecond), alone: true, opens: 450 * time.Millisecond,
 			seal: "a", moved: true,
 		},
-		"the other's turn comes too soon": {
-			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: turnMargin + moveAfter/2, seal: "a",
+		"other server closes too soon": {
+			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + moveAfter/2, seal: "a",
 		},
-		"the other's turn comes later": {
-			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: turnMargin + 2*moveAfter, seal: "a", moved: true,
+		"other server closes later": {
+			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + 2*moveAfter, seal: "a", moved: true,
 		},
-		"one that may not run again": {path: "/stream/once/a", first: pausing("a", 3, 6, 400*time.Millisecond), seal: "a"},
+		"not repeatable": {path: "/stream/once/a", first: pausing("a", 3, 6, 400*time.Millisecond), seal: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var ranks ranks
-			both := firstThen(ranks.noted(test.first), ranks.noted(streaming("b", 6, finish)))
+			var seen priorities
+			both := firstThen(seen.recorded(test.first), seen.recorded(streaming("b", 6, finish)))
 			one, two := newFake(t, both), newFake(t, both)
 			w := newEngineWorld(t, one.address, two.address)
 			time.AfterFunc(100*time.Millisecond, func() {
@@ -92,14 +92,15 @@
 			if moved := one.arrivals()+two.arrivals() == 2; moved != test.moved {
 				t.Errorf("moved %t, want %t", moved, test.moved)
 			}
-			if got := ranks.last(); test.moved && got != strconv.Itoa(mostUrgent) {
-				t.Errorf("moved with rank %s, want %d: its caller waits in the middle of an answer", got, mostUrgent)
+			if got := seen.last(); test.moved && got != strconv.Itoa(topPriority) {
+				t.Errorf("moved with priority %s, want %d", got, topPriority)
 			}
 		})
 	}
 }
 
-// TestLastServersKeepTheirStreams proves that a server goes on with its streams to their end when few others are left to take them.
+// TestLastServersKeepTheirStreams checks that a closing server finishes its streams when few other servers are left
+// to take them.
 func TestLastServersKeepTheirStreams(t *testing.T) {
 	for name, test := range map[string]struct {
 		others int
@@ -132,32 +133,32 @@
 	}
 }
 
-func TestPriceOfWhatOutlastsATurn(t *testing.T) {
+func TestPriceOverrun(t *testing.T) {
 	const own, over = 100 * time.Millisecond, 700 * time.Millisecond
 	for name, test := range map[string]struct {
 		moves bool
-		// other is another server's version and turn.
+		// version and closes describe the other server.
 		version contract.Version
 		closes  time.Duration
 		want    time.Duration
 	}{
-		"it goes on at a server whose turn is not known": {true, 1, unknownTurn, own + moveCost},
-		"it goes on at a server whose turn comes later":  {true, 1, movedTime + 200*time.Millisecond, own + moveCost},
-		"the other's turn comes too soon":                {true, 1, movedTime - 200*time.Millisecond, own + over},
-		"the other runs another version":                 {true, 2, unknownTurn, own + over},
-		"it may not go on":                               {false, 1, unknownTurn, own + over},
+		"movable to a server whose closing is unknown": {true, 1, unknownTurn, own + moveOverhead},
+		"movable to a server that closes later":        {true, 1, minTurnGap + 200*time.Millisecond, own + moveOverhead},
+		"other server closes too soon":                 {true, 1, minTurnGap - 200*time.Millisecond, own + over},
+		"other server runs another version":            {true, 2, unknownTurn, own + over},
+		"not movable":                                  {false, 1, unknownTurn, own + over},
 	} {
 		t.Run(name, func(t *testing.T) {
 			offers := []choice{
-				{version: 1, closes: 100 * time.Millisecond, over: over, cost: own},
-				{version: test.version, closes: test.closes, cost: own},
+				{version: 1, closesIn: 100 * time.Millisecond, overrun: over, cost: own},
+				{version: test.version, closesIn: test.closes, cost: own},
 			}
 			priceOverrun(offers, test.moves)
 			if got := offers[0].cost; got != test.want {
-				t.Errorf("counts as %v, want %v", got, test.want)
+				t.Errorf("cost %v, want %v", got, test.want)
 			}
 			if got := offers[1].cost; got != own {
-				t.Errorf("the other counts as %v, want %v", got, own)
+				t.Errorf("cost of the other server %v, want %v", got, own)
 			}
 		})
 	}
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -10,31 +10,30 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// noteStep keeps what became of an attempt for the request's line in the log, and what it says of the server.
-func (c *call) noteStep(a *attempt, result step, err error) {
+// recordResult records an attempt's result for the request's log line, the server's health and the quarantine.
+func (c *call) recordResult(a *attempt, result step, err error) {
 	if c.r.Context().Err() != nil {
-		// The caller has gone; that says nothing of the server.
+		// A cancellation by the caller says nothing about the server.
 		return
 	}
-	reason, ejection := a.choice.up.after(result, err, clock.Now())
+	reason, ejection := a.choice.up.recordResult(result, err, clock.Now())
 	lost := a.brokenOff(result, err)
 	switch {
 	case lost:
 		c.entry.noteBroken(a, err)
 	case result == stepFailed, result == stepDone && err == nil:
-		c.noteAnswered()
+		c.recordResponse()
 	}
 	if err != nil {
 		reason += ": " + err.Error()
 	}
 	c.mu.Lock()
-	c.story = append(c.story, a.choice.server.ID+" "+reason)
-	c.lost = c.lost || lost
+	c.tries = append(c.tries, a.choice.server.ID+" "+reason)
+	c.connLost = c.connLost || lost
 	c.mu.Unlock()
 	c.logEjection(a, ejection, reason)
 }
 
-// logEjection logs that a server gets nothing for a while.
 func (c *call) logEjection(a *attempt, ejection time.Duration, reason string) {
 	if ejection <= 0 {
 		return
@@ -43,9 +42,8 @@
 		Info("forward: server ejected")
 }
 
-// after notes what became of an attempt at the server; it returns that in a word, and for how long the server is now left
-// alone.
-func (u *upstream) after(result step, err error, now time.Time) (reason string, ejection time.Duration) {
+// recordResult updates the server's health; it returns the result as a word and how long the server is now ejected.
+func (u *upstream) recordResult(result step, err error, now time.Time) (reason string, ejection time.Duration) {
 	switch {
 	case result == stepNotRun:
 		return "not-run", 0
@@ -56,15 +54,15 @@
 	case result == stepDone:
 		u.succeeded()
 		return "done", 0
-	case errors.As(err, new(*HandedOnError)), errors.As(err, new(*SilentError)), errors.As(err, new(*OverdueError)),
-		errors.As(err, new(*HeldError)):
+	case errors.As(err, new(*SupersededError)), errors.As(err, new(*SilentServerError)), errors.As(err, new(*VersionDeadlineError)),
+		errors.As(err, new(*QuarantinedError)):
 		return "left", 0
 	default:
 		return "lost", u.failed(now)
 	}
 }
 
-// refuse answers with a problem of the entry's own.
+// refuse responds with an error of the entry's own.
 func (c *call) refuse(status int, slug, detail string, after time.Duration, cause error) {
 	if status == http.StatusServiceUnavailable {
 		c.noteRefused()
@@ -73,7 +71,7 @@
 	c.outcome(slug, status, cause)
 }
 
-// outcome writes the request's line in the log and counts it.
+// outcome logs and counts the finished request.
 func (c *call) outcome(outcome string, status int, cause error) {
 	took := clock.Since(c.started)
 	countOutcome(c.route.Name, outcome)
@@ -82,18 +80,18 @@
 	defer c.mu.Unlock()
 	fields := log.Fields{
 		"id": c.ask.ID, "route": c.route.Name, "team": c.teamName(), "revision": int64(c.config),
-		"outcome": outcome, "status": status, "ms": took.Milliseconds(), "first_ms": c.first.Milliseconds(),
+		"outcome": outcome, "status": status, "ms": took.Milliseconds(), "first_ms": c.firstEventAfter.Milliseconds(),
 		"server": c.last.server.ID, "predicted_ms": c.last.first.Milliseconds(),
-		"writing": c.last.load.Writing, "reading": c.last.load.Reading, "attempts": c.offered + c.refused, "waited_ms": c.waited.Milliseconds(),
+		"writing": c.last.load.Writing, "reading": c.last.load.Reading, "attempts": c.sends + c.refusalCount, "waited_ms": c.waited.Milliseconds(),
 		"goal_ms": c.route.Goal.Milliseconds(), "report_ms": c.last.reportAge.Milliseconds(),
 	}
 	if cause != nil {
 		fields["cause"] = cause.Error()
 	}
-	if c.offered+c.refused > 1 {
-		fields["tries"] = c.story
+	if c.sends+c.refusalCount > 1 {
+		fields["tries"] = c.tries
 	}
-	if c.lost {
+	if c.connLost {
 		fields["fingerprint"] = c.fingerprint().String()
 	}
 	c.entry.log.WithFields(fields).Info("request")
--- a/forward/overdue_test.go
+++ b/forward/overdue_test.go
@@ -11,31 +11,31 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// What was seen: a request that had been sent to a server of an older version 1.2 s before the bound on that version, and that
-// waited there for a slot, began 34 ms after the bound.
+// Regression: a request that waited for a slot at a server of an older version started after the deadline of that
+// version.
 
-// TestNothingBeginsAfterTheBoundOnItsVersion proves that a request which waits at a server of an older version is taken away from
-// there before the bound, and goes on at a server of the newer one.
+// TestNothingBeginsAfterTheBoundOnItsVersion checks that a request waiting at a server of an older version is
+// cancelled there before the deadline and moves to a server of the newer version.
 func TestNothingBeginsAfterTheBoundOnItsVersion(t *testing.T) {
 	t.Parallel()
-	var left atomic.Pointer[time.Time]
-	waits := func(conn net.Conn, n int, r *http.Request) bool {
+	var cancelled atomic.Pointer[time.Time]
+	waiting := func(conn net.Conn, n int, r *http.Request) bool {
 		_ = conn.SetReadDeadline(time.Now().Add(1500 * time.Millisecond))
 		_, err := conn.Read(make([]byte, 1))
 		if now := time.Now(); err != nil && !isTimeout(err) {
-			left.Store(&now)
+			cancelled.Store(&now)
 			return false
 		}
 		return streaming("a", 6, finish)(conn, n, r)
 	}
-	both := firstThen(waits, streaming("b", 6, finish))
+	both := firstThen(waiting, streaming("b", 6, finish))
 	one, two := newFake(t, both), newFake(t, both)
 	w := newEngineWorld(t, one.address, two.address)
 	w.heard(0, link.Report{Filled: true})
 	w.heard(1, link.Report{Filled: true})
-	const bound = dueMargin + 100*time.Millisecond
-	due := time.Now().Add(bound)
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -bound)
+	const untilDeadline = dispatchMargin + 100*time.Millisecond
+	deadline := time.Now().Add(untilDeadline)
+	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
 		w.entry.upstreams.heard(link.Report{Server: serverName(other), Model: engineModel, Version: 2}, time.Now())
@@ -45,15 +45,16 @@
 		t.Errorf("status %d, seal %q, body %q, error %v", got.status, got.header.Get("Seal"), got.body, got.err)
 	}
 	time.Sleep(20 * time.Millisecond)
-	if at := left.Load(); at == nil || at.After(due) {
-		t.Errorf("it is taken away at %v, the bound is at %v", at, due)
+	if at := cancelled.Load(); at == nil || at.After(deadline) {
+		t.Errorf("cancelled at %v, the deadline is %v", at, deadline)
 	}
 }
 
-// What was seen: beside planned work alone two streams were answered 502. Each had waited at a server of an older version and was
-// taken away from there before the bound; the next server refused it, all others were about to load, and it was given up at once.
+// Regression: requests cancelled there got a 502 at once when the next server refused and all others were about to
+// load.
 
-// TestRequestTakenAwayWaitsForAPlace proves that a request which was taken away from its server looks for another one for some time.
+// TestRequestTakenAwayWaitsForAPlace checks that a request cancelled at its server keeps looking for another one for
+// some time.
 func TestRequestTakenAwayWaitsForAPlace(t *testing.T) {
 	t.Parallel()
 	var arrivals atomic.Int64
@@ -74,8 +75,8 @@
 	w := newEngineWorld(t, one.address, two.address)
 	w.heard(0, link.Report{Filled: true})
 	w.heard(1, link.Report{Filled: true})
-	const bound = dueMargin + 100*time.Millisecond
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -bound)
+	const untilDeadline = dispatchMargin + 100*time.Millisecond
+	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
 		w.entry.upstreams.heard(link.Report{Server: serverName(other), Model: engineModel, Version: 2}, time.Now())
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -10,23 +10,20 @@
 )
 
 const (
-	// reportLag is how old what is known of other entries' requests is, in the mean: half the pause between two reports, half
-	// that between two looks at the server, and the way.
+	// reportLag is the mean age of what is known about other entries' requests.
 	reportLag = 90 * time.Millisecond
-	// predictionError is by how much a wait predicted while servers are full is too short between one in four times (0.09 s) and one
-	// in ten (0.27 s): a choice is spread over what is sent in that time too, since servers that differ by less are alike. By the
-	// age of reports alone servers that looked free were late more often than full ones (29 and 17 in 100); with it mean worth rose
-	// by 0.04 in shortages that last (45 servers, 13 entries, two days), and by 0.002 with 12 servers and five entries (five days).
-	predictionError = 200 * time.Millisecond
-	// usualWriting is how many requests a server usually writes for when one more is weighed.
-	usualWriting = 8
+	// predictionMargin covers errors in predicted waits at full servers: differences below it don't count, and
+	// choices are spread over what is sent within it.
+	predictionMargin = 200 * time.Millisecond
+	// typicalBatch is the batch size assumed for the cost of one more request.
+	typicalBatch = 8
 )
 
-// shares are how many requests are at the servers of a service, and how many of them are other entries'.
-type shares struct{ servers, own, others int }
+// requestCounts are the requests at a service's servers: this entry's own and the other entries'.
+type requestCounts struct{ servers, own, others int }
 
-// add counts what is at a server.
-func (s *shares) add(up *upstream, now time.Time) {
+// add counts the requests at a server.
+func (s *requestCounts) add(up *upstream, now time.Time) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	s.servers++
@@ -36,44 +33,43 @@
 	}
 }
 
-// sent returns how many requests all entries together send while a report is on its way, the one at hand included, and over how many a
-// choice is spread.
-func (s shares) sent(e *contract.Engine) spread.Sent {
-	return spread.Sent{Unseen: 1 + s.othersIn(reportLag, e), Over: 1 + s.othersIn(reportLag+predictionError, e)}
+// estimateInFlight estimates how many requests all entries send before a report shows them, this one included, and over
+// how many a choice is spread.
+func (s requestCounts) estimateInFlight(e *contract.Engine) spread.Sent {
+	return spread.Sent{Unseen: 1 + s.othersSentIn(reportLag, e), Over: 1 + s.othersSentIn(reportLag+predictionMargin, e)}
 }
 
-// othersIn returns how many requests the other entries send in a time: as many as they have at the servers in the time for which a
-// request is there. This entry's own requests do not count in that. Taken from their rate, an entry that refused most of them believed
-// ever more of the others, and refused nearly all from then on (0.11 of a day's worth).
-func (s shares) othersIn(within time.Duration, e *contract.Engine) float64 {
+// othersSentIn estimates how many requests the other entries send within a time, from those they have at the servers.
+// Their observed rate would mislead an entry that refuses most of its own.
+func (s requestCounts) othersSentIn(within time.Duration, e *contract.Engine) float64 {
 	if s.servers == 0 {
 		return 0
 	}
-	held := engine.Hold(e, engine.Load{Writing: (s.own + s.others) / s.servers})
-	if held <= 0 {
+	slotTime := engine.Hold(e, engine.Load{Writing: (s.own + s.others) / s.servers})
+	if slotTime <= 0 {
 		return 0
 	}
-	return float64(s.others) * within.Seconds() / held.Seconds()
+	return float64(s.others) * within.Seconds() / slotTime.Seconds()
 }
 
-// addedWait returns what one more request adds to the wait at an engine.
-func addedWait(e *contract.Engine) time.Duration {
-	return engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, usualWriting)
+// waitPerRequest returns the wait that one more request adds at an engine.
+func waitPerRequest(e *contract.Engine) time.Duration {
+	return engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, typicalBatch)
 }
 
-// pick chooses among servers of which entries hear late. What others are likely to have sent to the chosen server is added to its wait.
-func pick(offers []choice, sent spread.Sent, adds time.Duration) choice {
-	place, others := spread.Pick(costs(offers), sent, adds, rand.Float64())
-	c := offers[place]
-	c.first += time.Duration(others / 2 * float64(adds))
+// pick chooses among servers whose load is known with a delay, and adds to the wait what other entries have probably
+// sent there since.
+func pick(choices []choice, sent spread.Sent, added time.Duration) choice {
+	i, others := spread.Pick(costs(choices), sent, added, rand.Float64())
+	c := choices[i]
+	c.first += time.Duration(others / 2 * float64(added))
 	return c
 }
 
-// costs returns what offers cost.
-func costs(offers []choice) []time.Duration {
-	costs := make([]time.Duration, len(offers))
-	for i, offer := range offers {
-		costs[i] = offer.cost
+func costs(choices []choice) []time.Duration {
+	costs := make([]time.Duration, len(choices))
+	for i, ch := range choices {
+		costs[i] = ch.cost
 	}
 	return costs
 }
--- a/forward/pick_test.go
+++ b/forward/pick_test.go
@@ -20,14 +20,14 @@
 	for name, test := range map[string]struct {
 		offers []choice
 		unseen float64
-		// least and most are the shares of 1,000 requests that the first server may get.
+		// least and most bound how many of 1,000 requests the first server gets.
 		least, most int
 	}{
-		"alone, the best":                          {offers(100, 101, 300), 1, 990, 1000},
-		"alike, evenly":                            {offers(100, 100, 100, 100), 8, 200, 300},
-		"one that is idle gets what fills it":      {offers(0, 200, 200, 200), 4, 990, 1000},
-		"and the others what is more than that":    {offers(0, 100, 100, 100), 10, 350, 450},
-		"one that is far more costly gets nothing": {offers(900, 100, 100), 4, 0, 0},
+		"one request":                 {offers(100, 101, 300), 1, 990, 1000},
+		"equal costs":                 {offers(100, 100, 100, 100), 8, 200, 300},
+		"idle server is filled first": {offers(0, 200, 200, 200), 4, 990, 1000},
+		"others get the excess":       {offers(0, 100, 100, 100), 10, 350, 450},
+		"much higher cost":            {offers(900, 100, 100), 4, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			taken := 0
@@ -37,7 +37,7 @@
 				}
 			}
 			if taken < test.least || taken > test.most {
-				t.Errorf("taken %d times of 1000, want %d to %d", taken, test.least, test.most)
+				t.Errorf("chosen %d times of 1000, want %d to %d", taken, test.least, test.most)
 			}
 		})
 	}
@@ -46,18 +46,18 @@
 func TestUnseenFollowsWhatOthersHaveAtTheServers(t *testing.T) {
 	usual := &contract.Engine{Slots: 16, Step: 7 * time.Millisecond, ReadRate: 30000, UsualPrompt: 900, UsualAnswer: 120}
 	for name, test := range map[string]struct {
-		at          shares
+		at          requestCounts
 		least, most float64
 	}{
-		"no server":                           {shares{}, 1, 1},
-		"alone":                               {shares{servers: 12, own: 100}, 1, 1},
-		"most are others'":                    {shares{servers: 12, own: 35, others: 140}, 8, 12},
-		"half are others'":                    {shares{servers: 12, own: 85, others: 90}, 5, 8},
-		"one that refuses all believes alike": {shares{servers: 12, own: 0, others: 175}, 10, 15},
-		"little is there":                     {shares{servers: 12, own: 2, others: 4}, 1, 2},
+		"no server":                {requestCounts{}, 1, 1},
+		"no other entries":         {requestCounts{servers: 12, own: 100}, 1, 1},
+		"most from others":         {requestCounts{servers: 12, own: 35, others: 140}, 8, 12},
+		"half from others":         {requestCounts{servers: 12, own: 85, others: 90}, 5, 8},
+		"own requests all refused": {requestCounts{servers: 12, own: 0, others: 175}, 10, 15},
+		"few requests":             {requestCounts{servers: 12, own: 2, others: 4}, 1, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := test.at.sent(usual).Unseen; got < test.least || got > test.most {
+			if got := test.at.estimateInFlight(usual).Unseen; got < test.least || got > test.most {
 				t.Errorf("%.2f unseen, want %.0f to %.0f", got, test.least, test.most)
 			}
 		})
--- a/forward/request.go
+++ b/forward/request.go
@@ -12,22 +12,22 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// request builds the request to the server: the caller's own, with what the platform has the entry set.
+// request builds the request to the server: the caller's own, plus the fields in extra.
 func (a *attempt) request(extra Send) *http.Request {
 	c := a.call
-	extra.Left = clock.Until(c.ends) - answerMargin
+	extra.Left = clock.Until(c.ends) - responseMargin
 	extra.Server = a.choice.server.ID
 	extra.Team = c.teamName()
-	extra.Priority = a.rank
+	extra.Priority = a.priority
 	header := c.r.Header.Clone()
 	dropHopHeaders(header)
-	if _, told := header["User-Agent"]; !told {
+	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = []string{""}
 	}
 	c.entry.cfg.Wire.Outgoing(header, extra)
@@ -39,34 +39,34 @@
 	return req.WithContext(httptrace.WithClientTrace(a.ctx, &httptrace.ClientTrace{GotConn: a.gotConn}))
 }
 
-// gotConn notes on which connection the request leaves.
+// gotConn records the connection that the request uses.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	if c, ok := info.Conn.(*conn); ok {
 		a.conn = c
-		a.before = c.begin()
+		a.writtenBefore = c.begin()
 		a.ticket.connectedAt(c.opened)
 	}
 }
 
-// setBody sets the body of a request, of which the caller told a length.
-func setBody(req *http.Request, body []byte, told int64) {
+// setBody sets the request's body; declared is the caller's Content-Length.
+func setBody(req *http.Request, body []byte, declared int64) {
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	if len(body) > 0 {
 		return
 	}
-	// A body of unknown length that turns out empty is not sent, and keeps net/http from sending the request again.
+	// With an unknown length net/http sends no empty body and doesn't retry the request by itself.
 	req.ContentLength = -1
-	if told == 0 && methodHasBody(req.Method) {
+	if declared == 0 && methodHasBody(req.Method) {
 		req.Body, req.ContentLength = http.NoBody, 0
 	}
 }
 
-// methodHasBody reports whether net/http sends a length of 0 for the method; it does not repeat these by itself.
+// methodHasBody reports whether net/http sends Content-Length: 0 for the method; it doesn't retry these by itself.
 func methodHasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// target returns the address of a request at a server; path and query stay as the caller wrote them.
+// target returns the request's URL at a server, with path and query exactly as the caller wrote them.
 func target(r *http.Request, address string) *url.URL {
 	if strings.HasPrefix(r.RequestURI, "/") && !strings.HasPrefix(r.RequestURI, "//") {
 		return &url.URL{Scheme: "http", Host: address, Opaque: r.RequestURI}
@@ -76,7 +76,7 @@
 	return &u
 }
 
-// dropHopHeaders takes out what concerns one connection only.
+// dropHopHeaders removes hop-by-hop headers and those that Connection names.
 func dropHopHeaders(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -6,8 +6,8 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// Resumed has the requests in progress end in time after the machine was suspended: timers stand still meanwhile, and callers do
-// not. Without it a request is held for as long again as the machine was suspended.
+// Resumed enforces the deadlines of requests in progress after the machine was suspended, during which timers stand
+// still.
 func (e *Entry) Resumed() {
 	for _, c := range e.calls.list() {
 		time.AfterFunc(clock.Until(c.ends), c.cancel)
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -9,12 +9,12 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// TestSuspendedRequestsEndInTime proves that a request ends at its time by the caller's clock when the machine was suspended.
+// TestSuspendedRequestsEndInTime checks that a request ends at the caller's deadline after the machine was suspended.
 func TestSuspendedRequestsEndInTime(t *testing.T) {
 	for name, test := range map[string]struct{ suspended, most time.Duration }{
-		"its time is over":    {3 * time.Second, 100 * time.Millisecond},
-		"some time is left":   {time.Second, 1100 * time.Millisecond},
-		"it is hardly missed": {0, 2100 * time.Millisecond},
+		"past the deadline":   {3 * time.Second, 100 * time.Millisecond},
+		"before the deadline": {time.Second, 1100 * time.Millisecond},
+		"no suspension":       {0, 2100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newFake(t, func(net.Conn, int, *http.Request) bool { time.Sleep(4 * time.Second); return false })
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestSecondSendsHaveTheTimeThatIsLeft proves that a server is given no more time than the caller waits, when the machine was
-// suspended between two sends.
+// TestSecondSendsHaveTheTimeThatIsLeft checks that a retry tells the server only the remaining time after a
+// suspension.
 func TestSecondSendsHaveTheTimeThatIsLeft(t *testing.T) {
 	lost := func(conn net.Conn, _ int, _ *http.Request) bool {
 		time.Sleep(100 * time.Millisecond)
@@ -55,6 +55,6 @@
 		}
 	}
 	if len(waits) != 2 || len(waits[0]) != 4 || len(waits[1]) != 4 || min(waits[0], waits[1]) > "1400" {
-		t.Errorf("servers are given %q ms", waits)
+		t.Errorf("servers got timeouts of %q ms", waits)
 	}
 }
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// leastRetryAfter is when a caller is told to come back at the earliest, retryAfterSpread how much later at most, loadRetryAfter how
-	// much later where no server takes requests, plainRetryAfter the time where nothing is predicted.
-	leastRetryAfter  = 400 * time.Millisecond
+	// Retry-After is at least minRetryAfter plus up to retryAfterSpread at random; loadingRetryAfter is added where
+	// no server takes requests, plainRetryAfter applies without a prediction.
+	minRetryAfter    = 400 * time.Millisecond
 	retryAfterSpread = 900 * time.Millisecond
 	loadRetryAfter   = 600 * time.Millisecond
 	plainRetryAfter  = 300 * time.Millisecond
-	// enoughShare is the part of a service's servers, one in so many, that has to be back before callers are.
-	enoughShare = 4
+	// Callers are asked back once 1/readyDivisor of a service's servers are ready.
+	readyDivisor = 4
 )
 
-// soonest returns the least wait that is predicted at the servers of a service, that for a place within a limit included; ok is false
-// when none takes requests.
-func (e *Entry) soonest(service *contract.Service, now time.Time) (wait time.Duration, ok bool) {
+// shortestWait returns the shortest predicted wait at a service's servers, including the wait for their limits; ok is
+// false when none takes requests.
+func (e *Entry) shortestWait(service *contract.Service, now time.Time) (wait time.Duration, ok bool) {
 	entries := e.sharers()
 	for _, up := range e.upstreams.of(service.Name) {
 		up.mu.Lock()
-		if up.version("", now) != 0 && !up.leaves() && !up.closing(now) {
-			first := up.opensIn(entries, now) + engine.First(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
-			if !ok || first < wait {
-				wait, ok = first, true
+		if up.version("", now) != 0 && !up.isLeaving() && !up.closing(now) {
+			total := up.opensIn(entries, now) + engine.First(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
+			if !ok || total < wait {
+				wait, ok = total, true
 			}
 		}
 		up.mu.Unlock()
@@ -37,32 +37,31 @@
 	return wait, ok
 }
 
-// retryAfter says when a request is likely to be served in time: when what waits at the best server has been read, or when
-// the servers that load now are back. Callers are spread over some time more, since they would all meet again.
+// retryAfter predicts when a request will be served in time: once the queue at the best server has shrunk, or the
+// servers that are loading are ready. A random spread keeps callers from returning all at once.
 func (e *Entry) retryAfter(service *contract.Service, route *contract.Route, now time.Time) time.Duration {
 	if service.Engine == nil {
 		return e.plainRetryAfter(service.Name, now)
 	}
 	after, known := e.readyIn(service.Name, now)
-	if wait, ok := e.soonest(service, now); ok {
+	if wait, ok := e.shortestWait(service, now); ok {
 		after = max(wait-route.Goal, 0)
 	} else if !known {
 		after = loadRetryAfter
 	}
-	return after + leastRetryAfter + rand.N(retryAfterSpread)
+	return after + minRetryAfter + rand.N(retryAfterSpread)
 }
 
-// plainRetryAfter says when a request is likely to be served at a plain service. Callers whose place is known to come later are spread over
-// some time, as above.
+// plainRetryAfter is retryAfter for a service without an engine.
 func (e *Entry) plainRetryAfter(service string, now time.Time) time.Duration {
-	if in := e.opensIn(service, nil, now); in > 0 {
+	if in := e.availableIn(service, nil, now); in > 0 {
 		return max(in, plainRetryAfter) + rand.N(retryAfterSpread)
 	}
 	return plainRetryAfter
 }
 
-// readyIn returns how soon enough servers of a service are likely to run what they should, by what their boxes report; known
-// is false when none tells.
+// readyIn returns the time until enough servers of a service are predicted to run their target version, by their
+// boxes' reports; known is false without any.
 func (e *Entry) readyIn(service string, now time.Time) (in time.Duration, known bool) {
 	var times []time.Duration
 	for _, up := range e.upstreams.of(service) {
@@ -76,5 +75,5 @@
 		return 0, false
 	}
 	slices.Sort(times)
-	return times[len(times)/enoughShare], true
+	return times[len(times)/readyDivisor], true
 }
--- a/forward/retryafter_test.go
+++ b/forward/retryafter_test.go
@@ -9,7 +9,7 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-func TestRefusalsFollowTheProgress(t *testing.T) {
+func TestRetryAfterFollowsReadiness(t *testing.T) {
 	w := newEngineWorld(t, "127.0.0.1:1", "127.0.0.1:2")
 	for i := range 2 {
 		w.entry.upstreams.heard(link.Report{Server: serverName(i), Ready: 5 * time.Second}, time.Now())
@@ -17,6 +17,6 @@
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 	after := got.header.Get("Retry-After")
 	if got.status != http.StatusServiceUnavailable || after < "5" || strings.HasPrefix(after, "7") {
-		t.Errorf("status %d, come back after %s, want 5 to 7 s", got.status, after)
+		t.Errorf("status %d, Retry-After %s, want 5 to 7 s", got.status, after)
 	}
 }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -17,63 +17,63 @@
 )
 
 const (
-	// maxEvent bounds one event of a stream.
+	// maxEvent bounds an event, in bytes.
 	maxEvent = 1 << 20
-	// pauseFactor times the pause that is still in time is how long a stream may pause before it goes on elsewhere.
+	// A stream that pauses for pauseFactor times the route's pause goal, at least minPause, is hedged.
 	pauseFactor = 2
 	minPause    = 800 * time.Millisecond
 )
 
 var (
-	eventID      = []byte("id:")
-	errLongEvent = &BrokenAnswerError{Reason: "an event is too long"}
-	errTornEvent = &BrokenAnswerError{Reason: "it ends within an event"}
-	errNoResume  = errors.New("the stream can not go on elsewhere")
+	idPrefix          = []byte("id:")
+	errLongEvent      = &InvalidResponseError{Reason: "event is too long"}
+	errTruncatedEvent = &InvalidResponseError{Reason: "stream ends within an event"}
+	errNotResumable   = errors.New("stream is not resumable")
 )
 
-// passage is a stream on its way to the caller, from one server after another.
-type passage struct {
-	call    *call
-	version contract.Version
-	begun   bool
-	out     *http.ResponseController
-	// named says that the last event that the caller has has an id, gone that nothing more can be written to it.
-	named atomic.Bool
-	gone  atomic.Bool
+// callerStream is a stream relayed to the caller from one or more servers in turn.
+type callerStream struct {
+	call       *call
+	version    contract.Version
+	headerSent bool
+	out        *http.ResponseController
+	// hasEventID is set when the caller's last event has an id, callerGone when a write to the caller has failed.
+	hasEventID atomic.Bool
+	callerGone atomic.Bool
 
-	// mu guards what follows, and writes to the caller.
-	mu   sync.Mutex
-	last string
-	// asked is the attempt that may take the stream over from its last event, held what its server has sent since: it is
-	// passed on if the attempt comes to nothing.
-	asked *attempt
-	held  [][]byte
+	// mu guards the fields below and writes to the caller.
+	mu        sync.Mutex
+	lastEvent string
+	// successor is the attempt that may continue the stream after lastEvent. buffered are the events received since;
+	// they are written if the successor fails.
+	successor *attempt
+	buffered  [][]byte
 }
 
-// stream passes events on and goes on at another server of the same version when theirs breaks off.
-func (c *call) stream(ctx context.Context, a *attempt) {
-	p := &passage{call: c, version: a.version(), last: c.ask.LastEvent, out: http.NewResponseController(c.w)}
+// relayStream relays events and continues at another server of the same version when the connection breaks.
+func (c *call) relayStream(ctx context.Context, a *attempt) {
+	s := &callerStream{call: c, version: a.version(), lastEvent: c.ask.LastEvent, out: http.NewResponseController(c.w)}
 	c.mu.Lock()
-	c.passage = p
+	c.stream = s
 	c.mu.Unlock()
-	err := p.pass(a)
+	err := s.relay(a)
 	for err != nil {
-		c.noteStep(a, stepLost, err)
-		a.finish()
-		next, goneOn := p.next(ctx, a)
-		if goneOn != nil {
-			c.outcome("cut", http.StatusOK, errors.Join(goneOn, err))
+		c.recordResult(a, stepLost, err)
+		a.close()
+		next, nextErr := s.nextAttempt(ctx, a)
+		if nextErr != nil {
+			c.outcome("cut", http.StatusOK, errors.Join(nextErr, err))
 			panic(http.ErrAbortHandler)
 		}
 		a = next
-		err = p.pass(a)
+		err = s.relay(a)
 	}
-	c.noteStep(a, stepDone, nil)
-	a.finish()
+	c.recordResult(a, stepDone, nil)
+	a.close()
 	c.outcome("answered", http.StatusOK, nil)
 }
 
-// version returns the version that the server says it answers with.
+// version returns the version that the server reports for its response, or else the predicted one.
 func (a *attempt) version() contract.Version {
 	if a.reply.Version != 0 {
 		return a.reply.Version
@@ -81,225 +81,225 @@
 	return a.choice.version
 }
 
-// next returns the attempt that goes on with the stream after one that broke off.
-func (p *passage) next(ctx context.Context, gone *attempt) (*attempt, error) {
-	c := p.call
+// nextAttempt returns the attempt that continues the stream after gone has failed.
+func (s *callerStream) nextAttempt(ctx context.Context, gone *attempt) (*attempt, error) {
+	c := s.call
 	c.mu.Lock()
 	if c.winner == gone {
 		c.winner = nil
 	}
 	c.mu.Unlock()
-	for until := clock.Now().Add(resumeTime); ; p.pause(ctx) {
-		if held := c.awaitHolder(); held != nil {
-			return held, nil
+	for until := clock.Now().Add(resumeTimeout); ; s.waitRetry(ctx) {
+		if winner := c.waitWinner(); winner != nil {
+			return winner, nil
 		}
-		p.releaseAll()
+		s.flushAll()
 		switch {
 		case ctx.Err() != nil:
 			return nil, context.Cause(ctx)
-		case p.gone.Load():
+		case s.callerGone.Load():
 			return nil, context.Canceled
 		}
-		err := p.resume()
-		if errors.Is(err, errNoResume) || err != nil && c.noPlaceBy(until) {
+		err := s.resume()
+		if errors.Is(err, errNotResumable) || err != nil && c.noServerBy(until) {
 			return nil, err
 		}
-		if held := c.awaitHolder(); held != nil {
-			return held, nil
+		if winner := c.waitWinner(); winner != nil {
+			return winner, nil
 		}
 	}
 }
 
-// awaitHolder waits for one of the attempts in progress to begin to answer; nil when none did.
-func (c *call) awaitHolder() *attempt {
-	for c.asking() {
-		if held, _ := c.await(); held != nil {
-			return held
+// waitWinner waits for one of the attempts in progress to respond; nil when none does.
+func (c *call) waitWinner() *attempt {
+	for c.inProgress() {
+		if winner, _ := c.waitResult(); winner != nil {
+			return winner
 		}
 	}
 	return nil
 }
 
-// pause waits until the next server is asked for the rest.
-func (p *passage) pause(ctx context.Context) {
+// waitRetry pauses before the next search for a server.
+func (s *callerStream) waitRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(askAgain):
+	case <-time.After(retryInterval):
 	}
 }
 
-// resume asks another server of the same version for the rest of the stream.
-func (p *passage) resume() error {
-	c := p.call
+// resume requests the rest of the stream from another server of the same version.
+func (s *callerStream) resume() error {
+	c := s.call
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !p.resumable() || c.offered >= max(c.route.Attempts, 2) || c.held() {
-		return errNoResume
+	if !s.resumable() || c.sends >= max(c.route.Attempts, 2) || c.quarantined() {
+		return errNotResumable
 	}
 	c.urgent = true
 	c.readmit(clock.Now())
 	want := c.wanted()
-	want.exact = p.version
+	want.version = s.version
 	ch, ok := c.entry.choose(want, clock.Now())
 	if !ok {
-		return &NoServerError{Service: c.service.Name, Reason: "none can go on with the stream"}
+		return &NoServerError{Service: c.service.Name, Reason: "none can resume the stream"}
 	}
 	if !c.entry.budget.Again(c.service.Name, clock.Now()) {
-		return errNoBudget
+		return errRetryBudget
 	}
-	if c.begin(ch) == nil {
-		return &NoServerError{Service: c.service.Name, Reason: "the one that could go on with the stream has no room any more"}
+	if c.start(ch) == nil {
+		return &NoServerError{Service: c.service.Name, Reason: "the one that could resume the stream has no room left"}
 	}
 	resumes.Inc()
 	return nil
 }
 
-// pass passes the events of one server on, whole ones only.
-func (p *passage) pass(a *attempt) error {
-	p.follow()
-	if a.ended {
-		return p.complete(a)
+// relay relays the whole events of one attempt until the stream ends or fails.
+func (s *callerStream) relay(a *attempt) error {
+	s.discardBuffered()
+	if a.streamEnded {
+		return s.complete(a)
 	}
-	for event := a.event; ; {
-		err := p.passEvent(a, event, a.events.Buffered() == 0)
+	for event := a.nextEvent; ; {
+		err := s.relayEvent(a, event, a.events.Buffered() == 0)
 		if err != nil {
 			return err
 		}
-		a.listen(max(pauseFactor*a.call.route.PauseGoal, minPause))
+		a.startSilenceTimer(max(pauseFactor*a.call.route.PauseGoal, minPause))
 		event, err = readEvent(a.events, event[:0])
-		a.heard()
+		a.stopSilenceTimer()
 		if err != nil {
 			if errors.Is(err, io.EOF) && len(event) == 0 {
-				return p.complete(a)
+				return s.complete(a)
 			}
-			return a.broken(err)
+			return a.abort(err)
 		}
 	}
 }
 
-// complete ends a stream whose last event has come, unless another attempt has taken it over.
-func (p *passage) complete(a *attempt) error {
-	c := p.call
+// complete ends the stream after its last event, unless another attempt has taken it over.
+func (s *callerStream) complete(a *attempt) error {
+	c := s.call
 	c.mu.Lock()
 	if c.winner != a {
 		c.mu.Unlock()
 		return context.Cause(a.ctx)
 	}
-	c.over = true
-	for _, other := range c.asked {
+	c.done = true
+	for _, other := range c.pending {
 		other.cancel(nil)
 	}
 	c.mu.Unlock()
-	p.releaseAll()
-	p.finish(a)
+	s.flushAll()
+	s.ensureHeader(a)
 	return nil
 }
 
-// resumable reports whether another server can go on after the last event that the caller has.
-func (p *passage) resumable() bool { return p.call.route.Resumable && p.named.Load() }
+// resumable reports whether another server can continue after the caller's last event.
+func (s *callerStream) resumable() bool { return s.call.route.Resumable && s.hasEventID.Load() }
 
-// hold has events kept back until it is known what becomes of an attempt that goes on after the last one.
-func (p *passage) hold(a *attempt) (last string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.asked = a
-	return p.last
+// startBuffering buffers events from now on for a, which continues after the event it returns.
+func (s *callerStream) startBuffering(a *attempt) (last string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.successor = a
+	return s.lastEvent
 }
 
-// waitsFor reports whether events are kept back for an attempt.
-func (p *passage) waitsFor(a *attempt) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.asked == a && len(p.held) > 0
+// buffersFor reports whether events are buffered because of a.
+func (s *callerStream) buffersFor(a *attempt) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.successor == a && len(s.buffered) > 0
 }
 
-// release passes on what was kept back for an attempt.
-func (p *passage) release(a *attempt) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.asked == a {
-		p.flushHeld()
+// flushFor writes the events buffered because of a, which has failed.
+func (s *callerStream) flushFor(a *attempt) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.successor == a {
+		s.flush()
 	}
 }
 
-// releaseAll passes on all that was kept back.
-func (p *passage) releaseAll() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.flushHeld()
+// flushAll writes all buffered events.
+func (s *callerStream) flushAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.flush()
 }
 
-// flushHeld passes on what was kept back; a caller that is gone shows at the next event. mu is held.
-func (p *passage) flushHeld() {
-	held := p.held
-	p.asked, p.held = nil, nil
-	for i, event := range held {
-		_ = p.write(event, i == len(held)-1)
+// flush writes the buffered events; a write error shows at the next event. mu is held.
+func (s *callerStream) flush() {
+	events := s.buffered
+	s.successor, s.buffered = nil, nil
+	for i, event := range events {
+		_ = s.write(event, i == len(events)-1)
 	}
 }
 
-// follow goes over to another attempt's events, which hold what was kept back.
-func (p *passage) follow() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.asked, p.held = nil, nil
+// discardBuffered drops the buffered events, which the new attempt sends itself.
+func (s *callerStream) discardBuffered() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.successor, s.buffered = nil, nil
 }
 
-// finish ends a stream whose last event has come; one without events still has its head.
-func (p *passage) finish(a *attempt) {
-	if !p.begun {
-		p.begin(a)
+// ensureHeader writes the response header if the stream had no events.
+func (s *callerStream) ensureHeader(a *attempt) {
+	if !s.headerSent {
+		s.writeHeader(a)
 	}
 }
 
-// passEvent passes one event on; one that the caller already has is dropped.
-func (p *passage) passEvent(a *attempt, event []byte, flush bool) error {
-	if version, changes := p.call.entry.cfg.Wire.EventVersion(event); changes && version != p.version {
-		a.spoil()
-		return &BrokenAnswerError{Reason: "its version changes"}
+// relayEvent writes or buffers an event unless the caller already has it.
+func (s *callerStream) relayEvent(a *attempt, event []byte, flush bool) error {
+	if version, changes := s.call.entry.cfg.Wire.EventVersion(event); changes && version != s.version {
+		a.closeConn()
+		return &InvalidResponseError{Reason: "version changes within the stream"}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if isOld(idOf(event), p.last) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if alreadySent(eventID(event), s.lastEvent) {
 		return nil
 	}
-	if !p.begun {
-		p.begin(a)
+	if !s.headerSent {
+		s.writeHeader(a)
 	}
-	if p.asked != nil {
-		p.held = append(p.held, bytes.Clone(event))
+	if s.successor != nil {
+		s.buffered = append(s.buffered, bytes.Clone(event))
 		return nil
 	}
-	return p.write(event, flush)
+	return s.write(event, flush)
 }
 
 // write writes an event to the caller; mu is held.
-func (p *passage) write(event []byte, flush bool) error {
-	if _, err := p.call.w.Write(event); err != nil {
-		p.gone.Store(true)
+func (s *callerStream) write(event []byte, flush bool) error {
+	if _, err := s.call.w.Write(event); err != nil {
+		s.callerGone.Store(true)
 		return err
 	}
-	if id := idOf(event); id != "" {
-		p.last = id
-		p.named.Store(true)
+	if id := eventID(event); id != "" {
+		s.lastEvent = id
+		s.hasEventID.Store(true)
 	}
 	if flush {
-		return p.out.Flush()
+		return s.out.Flush()
 	}
 	return nil
 }
 
-// begin sends the head, that of the first server whose events are passed on.
-func (p *passage) begin(a *attempt) {
-	p.begun = true
-	p.call.first = clock.Since(p.call.started)
-	firstEvent.Update(p.call.first.Seconds())
-	copyHead(p.call.w.Header(), a.resp.Header, p.call.entry.leaving.Load())
-	p.call.w.WriteHeader(a.resp.StatusCode)
+// writeHeader sends the response header of the first server whose events are relayed.
+func (s *callerStream) writeHeader(a *attempt) {
+	s.headerSent = true
+	s.call.firstEventAfter = clock.Since(s.call.started)
+	firstEvent.Update(s.call.firstEventAfter.Seconds())
+	copyHeader(s.call.w.Header(), a.resp.Header, s.call.entry.leaving.Load())
+	s.call.w.WriteHeader(a.resp.StatusCode)
 }
 
-// isOld reports whether an event with an id comes no later than the last that the caller has.
-func isOld(id, last string) bool {
+// alreadySent reports whether the event with this id is not after the last one the caller has.
+func alreadySent(id, last string) bool {
 	if id == "" || last == "" {
 		return false
 	}
@@ -311,7 +311,7 @@
 	return n <= had
 }
 
-// readEvent appends the next whole event, with the blank line that ends it.
+// readEvent appends the next whole event, including the blank line that ends it.
 func readEvent(r *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -323,7 +323,7 @@
 			}
 			continue
 		case errors.Is(err, io.EOF) && len(event) > 0:
-			return event, errTornEvent
+			return event, errTruncatedEvent
 		case err != nil:
 			return event, err
 		case len(event) > maxEvent:
@@ -335,15 +335,15 @@
 	}
 }
 
-// endsEvent reports whether an event ends with its blank line; one of a blank line alone does.
+// endsEvent reports whether event ends with its blank line, or consists of one only.
 func endsEvent(event []byte) bool {
 	return bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\r\n\r\n")) || len(event) <= 2
 }
 
-// idOf returns the id of an event, empty when it has none.
-func idOf(event []byte) string {
+// eventID returns the id of an event; empty without one.
+func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
-		if value, ok := bytes.CutPrefix(line, eventID); ok {
+		if value, ok := bytes.CutPrefix(line, idPrefix); ok {
 			return string(bytes.TrimSpace(value))
 		}
 	}
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-const streamHead = "HTTP/1.1 200 OK\nId: r1\nSeal: %s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n"
+const streamHeader = "HTTP/1.1 200 OK\nId: r1\nSeal: %s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n"
 
-func chunk(conn net.Conn, text string) {
+func writeChunk(conn net.Conn, text string) {
 	_, _ = fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text)
 }
 
 func events(conn net.Conn, from, to int) {
 	for i := from; i <= to; i++ {
-		chunk(conn, fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
+		writeChunk(conn, fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
 	}
 }
 
-// streaming is a server that sends the events after the last that the caller has, and ends as end says.
+// streamEvents sends the events after the caller's last one, up to to, and then calls end.
 func streaming(seal string, to int, end func(conn net.Conn)) answering {
 	return func(conn net.Conn, _ int, r *http.Request) bool {
 		from, _ := strconv.Atoi(r.Header.Get("Last"))
-		raw(conn, fmt.Sprintf(streamHead, seal))
+		raw(conn, fmt.Sprintf(streamHeader, seal))
 		events(conn, from+1, to)
 		end(conn)
 		return false
@@ -35,8 +35,8 @@
 
 func finish(conn net.Conn) { _, _ = conn.Write([]byte("0\r\n\r\n")) }
 
-// breaks breaks a stream off once what was sent before has arrived.
-func breaks(conn net.Conn) {
+// breakOff resets the connection once the data sent before has arrived.
+func breakOff(conn net.Conn) {
 	time.Sleep(30 * time.Millisecond)
 	reset(conn)
 }
@@ -49,7 +49,7 @@
 	return b.String()
 }
 
-// streamTest is a stream of the first server asked, that of the second, and what the caller must get.
+// streamTest is the stream of the first server, that of the second, and the stream expected by the caller.
 type streamTest struct {
 	path   string
 	first  answering
@@ -59,18 +59,18 @@
 	seal   string
 }
 
-// streamTests are the ways in which streams may end.
+// streamTests are the ways in which a stream can end.
 var streamTests = map[string]streamTest{
-	"whole": {"/stream/a", streaming("a", 5, finish), nil, all(5), false, "a"},
+	"complete": {"/stream/a", streaming("a", 5, finish), nil, all(5), false, "a"},
 	"broken off and resumed": {
-		"/stream/a", streaming("a", 3, breaks), streaming("b", 6, finish), all(6), false, "a",
+		"/stream/a", streaming("a", 3, breakOff), streaming("b", 6, finish), all(6), false, "a",
 	},
-	"torn within an event": {
-		"/stream/a", streaming("a", 3, func(conn net.Conn) { chunk(conn, "id: 4\nda"); breaks(conn) }),
+	"reset within an event": {
+		"/stream/a", streaming("a", 3, func(conn net.Conn) { writeChunk(conn, "id: 4\nda"); breakOff(conn) }),
 		streaming("b", 6, finish), all(6), false, "a",
 	},
 	"ended within an event": {
-		"/stream/a", streaming("a", 3, func(conn net.Conn) { chunk(conn, "id: 4\nda"); finish(conn) }),
+		"/stream/a", streaming("a", 3, func(conn net.Conn) { writeChunk(conn, "id: 4\nda"); finish(conn) }),
 		streaming("b", 6, finish), all(6), false, "a",
 	},
 	"silent between events": {
@@ -81,21 +81,21 @@
 		"/stream/a", func(net.Conn, int, *http.Request) bool { time.Sleep(5 * time.Second); return false },
 		streaming("b", 6, finish), all(6), false, "b",
 	},
-	"the second begins with events that the caller has": {
-		"/stream/a", streaming("a", 3, breaks), func(conn net.Conn, _ int, _ *http.Request) bool {
-			raw(conn, fmt.Sprintf(streamHead, "b"))
+	"second server repeats events": {
+		"/stream/a", streaming("a", 3, breakOff), func(conn net.Conn, _ int, _ *http.Request) bool {
+			raw(conn, fmt.Sprintf(streamHeader, "b"))
 			events(conn, 2, 6)
 			finish(conn)
 			return false
 		}, all(6), false, "a",
 	},
-	"the version changes": {
-		"/stream/a", streaming("a", 2, func(conn net.Conn) { chunk(conn, "version: 9\nid: 3\ndata: x\n\n"); time.Sleep(time.Second) }),
+	"version changes": {
+		"/stream/a", streaming("a", 2, func(conn net.Conn) { writeChunk(conn, "version: 9\nid: 3\ndata: x\n\n"); time.Sleep(time.Second) }),
 		streaming("b", 4, finish), all(4), false, "a",
 	},
-	"broken off and not to be resumed": {"/stream/once/a", streaming("a", 3, breaks), streaming("b", 6, finish), all(3), true, "a"},
-	"the second refuses the rest": {
-		"/stream/a", streaming("a", 3, breaks), saying("HTTP/1.1 503 No\nNot-Run: 1\nContent-Length: 0\n\n"), all(3), true, "a",
+	"broken off, not resumable": {"/stream/once/a", streaming("a", 3, breakOff), streaming("b", 6, finish), all(3), true, "a"},
+	"second server refuses the rest": {
+		"/stream/a", streaming("a", 3, breakOff), saying("HTTP/1.1 503 No\nNot-Run: 1\nContent-Length: 0\n\n"), all(3), true, "a",
 	},
 }
 
@@ -111,16 +111,16 @@
 				t.Errorf("status %d, cut %v, body:\n%s\nwant cut %t:\n%s", got.status, got.err, got.body, test.cut, test.body)
 			}
 			if got.header.Get("Seal") != test.seal {
-				t.Errorf("seal %q, want that of the first whose events were passed on, %q", got.header.Get("Seal"), test.seal)
+				t.Errorf("seal %q, want that of the first server whose events were relayed, %q", got.header.Get("Seal"), test.seal)
 			}
 		})
 	}
 }
 
-func TestStreamGoesOnEventByEvent(t *testing.T) {
+func TestStreamIsFlushedPerEvent(t *testing.T) {
 	next := make(chan struct{})
 	a := newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
-		raw(conn, fmt.Sprintf(streamHead, "a"))
+		raw(conn, fmt.Sprintf(streamHeader, "a"))
 		events(conn, 1, 1)
 		<-next
 		events(conn, 2, 2)
@@ -142,7 +142,7 @@
 	buf := make([]byte, 64)
 	n, err := resp.Body.Read(buf)
 	if err != nil || string(buf[:n]) != all(1) {
-		t.Errorf("%q %v came before the second event was made", buf[:n], err)
+		t.Errorf("got %q, %v before the second event was sent", buf[:n], err)
 	}
 	close(next)
 }
