--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -10,57 +10,57 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// TestReturnsComeBehindFirstTries proves that a caller that returns to servers without room is refused while a first try is let
-// in, however long either says that it waits, and let in when no first try is refused.
-func TestReturnsComeBehindFirstTries(t *testing.T) {
+// TestFirstTriesGoBeforeRetries checks that under load a retry is refused while first tries are admitted, whatever the callers'
+// timeouts, and that it is admitted when no first try is refused.
+func TestFirstTriesGoBeforeRetries(t *testing.T) {
 	server := newFake(t, streaming("s", 1, finish))
 	w := newEngineWorld(t, server.address)
 	ask := func(body string, wait time.Duration) int {
 		headers := map[string]string{"Wait": strconv.FormatInt(wait.Milliseconds(), 10)}
 		return w.ask(http.MethodPost, "/stream/a", body, headers).status
 	}
-	busy := func(waiting int) {
+	reportWaiting := func(waiting int) {
 		w.entry.upstreams.heard(link.Report{
 			Server: serverName(0), Model: engineModel, Version: 1, Running: 8, Waiting: waiting,
 		}, time.Now())
 	}
-	busy(14)
-	if first, less := ask("x", 6*time.Second), ask("y", 5*time.Second); first == http.StatusServiceUnavailable || less == http.StatusServiceUnavailable {
-		t.Fatalf("status %d and %d of first tries while there is room", first, less)
+	reportWaiting(14)
+	if long, short := ask("x", 6*time.Second), ask("y", 5*time.Second); long == http.StatusServiceUnavailable || short == http.StatusServiceUnavailable {
+		t.Fatalf("first tries got status %d and %d while there is room", long, short)
 	}
-	busy(200)
+	reportWaiting(200)
 	began := time.Now()
 	for i := range 40 {
 		if got := ask("refused"+strconv.Itoa(i), 6*time.Second); got != http.StatusServiceUnavailable {
-			t.Fatalf("status %d of a first try without any room", got)
+			t.Fatalf("first try got status %d without any room", got)
 		}
 	}
 	time.Sleep(100 * time.Millisecond)
-	busy(14)
+	reportWaiting(14)
 	if got := ask("refused0", 6*time.Second-time.Since(began)); got != http.StatusServiceUnavailable {
-		t.Errorf("status %d of a return while first tries are refused", got)
+		t.Errorf("retry got status %d while first tries are refused", got)
 	}
 	if got := ask("z", 5*time.Second); got == http.StatusServiceUnavailable {
-		t.Error("a first try of a caller that waits less is refused with the returns")
+		t.Error("first try with a shorter timeout was refused like the retries")
 	}
 }
 
-// TestSiblingsKnowWhatWasRefused proves that the other entries of a site know a request that one of them refused.
-func TestSiblingsKnowWhatWasRefused(t *testing.T) {
-	rs := newReaders(t, 3)
+// TestPeersLearnOfRefusals checks that a refused request becomes known to the other entries of the site.
+func TestPeersLearnOfRefusals(t *testing.T) {
+	env := newSiteEnv(t, 3)
 	now := time.Now()
 	refusal := admission.Refusal{Print: 7, First: now, Ends: now.Add(5 * time.Second)}
-	for _, e := range rs.entries {
-		go func() { _ = e.siblings.serve(t.Context()) }()
+	for _, e := range env.entries {
+		go func() { _ = e.peers.serve(t.Context()) }()
 	}
-	rs.entries[0].siblings.refused(refusal, now)
-	for i, e := range rs.entries {
+	env.entries[0].peers.add(refusal, now)
+	for i, e := range env.entries {
 		known := false
 		for deadline := now.Add(2 * time.Second); !known && time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 			_, known = e.returns.Take(refusal.Print, refusal.Ends, time.Now())
 		}
 		if !known {
-			t.Errorf("entry %d does not know it", i)
+			t.Errorf("entry %d does not know the refused request", i)
 		}
 	}
 }
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	dialTime = time.Second
-	// unackedTime is how long sent bytes may go without an acknowledgement before a connection is given up.
-	unackedTime = 1500 * time.Millisecond
-	// keepIdle and keepProbe find a server that is cut off while an answer is awaited.
-	keepIdle   = time.Second
-	keepProbe  = time.Second
-	keepProbes = 2
-	// idleTime is how long a connection rests unless the server says less; idleMargin is kept from what it says.
-	idleTime    = 4 * time.Second
-	idleMargin  = 500 * time.Millisecond
-	connBuffer  = 2 << 10
-	idlePerHost = 64
+	dialTimeout = time.Second
+	// tcpUserTimeout is how long sent data may stay unacknowledged before the connection is closed.
+	tcpUserTimeout = 1500 * time.Millisecond
+	// Keep-alive probes detect a server that became unreachable while a response is awaited.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	// idleTimeout applies unless the server announces a shorter timeout; idleMargin is subtracted from an announced one.
+	idleTimeout    = 4 * time.Second
+	idleMargin     = 500 * time.Millisecond
+	connBuffer     = 2 << 10
+	maxIdlePerHost = 64
 )
 
-// conn is a connection to a server that knows whether any byte of the latest request has left on it.
+// conn is a connection to a server that counts the bytes written, to detect whether any byte of a request has been sent.
 type conn struct {
 	net.Conn
-	opened  time.Time
-	written atomic.Int64
-	mu      sync.Mutex
-	rest    time.Duration
-	timer   *time.Timer
-	uses    int
+	opened    time.Time
+	written   atomic.Int64
+	mu        sync.Mutex
+	idleLimit time.Duration
+	timer     *time.Timer
+	inUse     int
 }
 
-// Write counts what leaves.
+// Write writes b and counts the bytes written.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-// Close ends the connection. While a request is on it, what has not left yet is dropped: a request that was given up
-// must not reach its server when a cut link heals.
+// Close closes the connection. During a request it discards unsent data: a cancelled request must not reach its server
+// once the network recovers.
 func (c *conn) Close() error {
 	c.mu.Lock()
-	busy := c.uses > 0
+	busy := c.inUse > 0
 	c.mu.Unlock()
 	if tcp, ok := c.Conn.(*net.TCPConn); ok && busy {
 		_ = tcp.SetLinger(0)
@@ -59,50 +59,50 @@
 	return c.Conn.Close()
 }
 
-// begin marks the connection as in use by a request and returns how many bytes had left before.
+// beginRequest marks the connection as in use and returns the number of bytes written before.
 func (c *conn) begin() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uses++
+	c.inUse++
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 	return c.written.Load()
 }
 
-// end marks the connection as idle; it closes before the server would close it.
+// endRequest marks the connection as idle and schedules its closing before the server closes it.
 func (c *conn) end(keepAlive time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.uses--
+	c.inUse--
 	if keepAlive > 0 {
-		c.rest = max(keepAlive-idleMargin, keepAlive/2)
+		c.idleLimit = max(keepAlive-idleMargin, keepAlive/2)
 	}
-	if c.rest == 0 || c.uses > 0 {
+	if c.idleLimit == 0 || c.inUse > 0 {
 		return
 	}
 	if c.timer == nil {
-		c.timer = time.AfterFunc(c.rest, c.expire)
+		c.timer = time.AfterFunc(c.idleLimit, c.expire)
 		return
 	}
-	c.timer.Reset(c.rest)
+	c.timer.Reset(c.idleLimit)
 }
 
-// expire closes a connection that has rested; a request that takes it at the same moment waits, and leaves no byte on it.
+// expire closes a connection that was idle too long. A request that takes it at the same time blocks on mu and sends
+// nothing.
 func (c *conn) expire() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.uses == 0 {
+	if c.inUse == 0 {
 		_ = c.Conn.Close()
 	}
 }
 
-// newTransport returns the transport to all servers. It never sends a request twice: bodies are set so that net/http
-// cannot rewind them.
+// newTransport returns a transport to the servers that never resends a request: net/http cannot rewind the bodies.
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{
-		Timeout:         dialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepProbe, Count: keepProbes},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control:         setUserTimeout,
 	}
 	return &http.Transport{
@@ -115,8 +115,8 @@
 			return &conn{Conn: c, opened: clock.Now()}, nil
 		},
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerHost,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConnsPerHost: maxIdlePerHost,
+		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      connBuffer,
 		WriteBufferSize:     connBuffer,
 	}
@@ -125,7 +125,7 @@
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	if err := raw.Control(func(fd uintptr) {
-		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTime.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	}); err != nil {
 		return err
 	}
--- a/forward/ended.go
+++ b/forward/ended.go
@@ -13,84 +13,84 @@
 	"github.com/coralstair/coralstair/quarantine"
 )
 
-// A request may end the server that runs it. All connections of the server break off then, and with them the other requests
-// there, so that one end says little of which it was; the requests that were there are noted by what tells them when they come
-// again. A connection alone that breaks off says nothing: links are reset too.
+// A request may crash the server that runs it, which breaks all connections of the server. The requests in flight are recorded, so
+// that the one that crashes servers is recognised when it is retried. A single broken connection proves nothing: networks reset
+// connections too.
 
 const (
-	// endWait is how long a request waits for word whether its server has ended before it goes to another, which may end under it as
-	// well: some round trips.
-	endWait = 100 * time.Millisecond
-	// endGather is how long after a server ended its broken connections are gathered for the log: they break within milliseconds.
+	// exitCheckTimeout is how long a request waits for the exit check before it is sent to another server, which it
+	// might crash too.
+	exitCheckTimeout = 100 * time.Millisecond
+	// exitLogDelay is how long the requests lost by an exit are collected for its log line.
 	endGather = 20 * time.Millisecond
-	// endLife is how long an end that was found counts for connections that break off later.
-	endLife = time.Second
-	// brokenLife is how long a broken connection waits for word that its server has ended.
-	brokenLife = 3 * time.Second
+	// exitTTL is how long a detected exit explains further broken connections of the server.
+	exitTTL = time.Second
+	// lostRequestTTL is how long a lost request is kept in case its server turns out to have exited.
+	lostRequestTTL = 3 * time.Second
 )
 
-// broken is a request whose connection ended while its server had it.
-type broken struct {
+// lostRequest is a request whose connection broke while its server had it.
+type lostRequest struct {
 	request quarantine.Fingerprint
 	at      time.Time
 }
 
-// brokenOff reports whether an attempt ended without the entry's doing, or because its server started again.
+// connectionLost reports whether the connection broke or the server restarted, rather than the entry cancelling the
+// attempt.
 func (a *attempt) brokenOff(result step, err error) bool {
 	return result == stepLost && (a.ctx.Err() == nil || errors.As(err, new(*RestartedError)))
 }
 
-// noteBroken notes that a request's connection to a server has ended, and finds out whether the server has; it returns once that
-// is known.
+// awaitExitCheck records a lost request and waits until it is known whether its server has exited, for exitCheckTimeout
+// at most.
 func (e *Entry) noteBroken(a *attempt, err error) {
 	up, request, now := a.choice.up, a.call.fingerprint(), clock.Now()
 	up.mu.Lock()
-	up.broken = append(up.broken, broken{request: request, at: now})
+	up.lostRequests = append(up.lostRequests, lostRequest{request: request, at: now})
 	if errors.As(err, new(*RestartedError)) {
-		up.endedAt = now
+		up.exitedAt = now
 	}
-	if up.checked == nil {
-		up.checked = make(chan struct{})
-		go e.checkEnded(up, up.checked)
+	if up.exitChecked == nil {
+		up.exitChecked = make(chan struct{})
+		go e.checkExit(up, up.exitChecked)
 	}
-	checked := up.checked
+	checked := up.exitChecked
 	up.mu.Unlock()
 	select {
 	case <-checked:
-	case <-time.After(endWait):
+	case <-time.After(exitCheckTimeout):
 	}
 }
 
-// checkEnded finds out whether a server has ended, and tells which requests were there.
-func (e *Entry) checkEnded(up *upstream, checked chan struct{}) {
-	known := up.endedLately(clock.Now())
+// checkExit determines whether a server has exited, and records the requests lost with it.
+func (e *Entry) checkExit(up *upstream, checked chan struct{}) {
+	known := up.exitedRecently(clock.Now())
 	ended := known || probe.Refuses(up.address())
-	life, requests := up.takeBroken(ended, clock.Now())
+	incarnation, requests := up.takeLostRequests(ended, clock.Now())
 	if ended && !known {
 		up.unreachable(clock.Now())
 	}
 	if len(requests) > 0 {
-		e.cfg.Quarantine.Ended(life, requests)
+		e.cfg.Quarantine.Ended(incarnation, requests)
 	}
 	close(checked)
-	if len(requests) > 0 && up.logsEnd(requests) {
+	if len(requests) > 0 && up.queueExitLog(requests) {
 		time.Sleep(endGather)
-		e.logEnd(life, up.loggedEnd())
+		e.logExit(incarnation, up.takeExitLog())
 	}
 }
 
-// logEnd writes the line of a server that has ended.
-func (e *Entry) logEnd(life string, requests []quarantine.Fingerprint) {
+func (e *Entry) logExit(incarnation string, requests []quarantine.Fingerprint) {
 	serversEnded.Inc()
 	names := make([]string, len(requests))
 	for i, request := range requests {
 		names[i] = request.String()
 	}
-	e.log.WithFields(log.Fields{"life": life, "requests": names}).Warn("forward: a server ended under requests")
+	e.log.WithFields(log.Fields{"life": incarnation, "requests": names}).Warn("forward: a server ended under requests")
 }
 
-// lifeName names a life of a server alike at all entries.
-func lifeName(server string, born int64) string {
+// incarnationName returns the name of a server's incarnation, which all entries derive alike.
+func incarnationName(server string, born int64) string {
 	if born == 0 {
 		return server
 	}
@@ -103,49 +103,48 @@
 	return u.server.Address
 }
 
-func (u *upstream) endedLately(now time.Time) bool {
+func (u *upstream) exitedRecently(now time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return !u.endedAt.IsZero() && now.Sub(u.endedAt) < endLife
+	return !u.exitedAt.IsZero() && now.Sub(u.exitedAt) < exitTTL
 }
 
-// takeBroken ends a check: with the requests whose connections broke off, each once, when the server has ended; else these wait
-// for a while.
-func (u *upstream) takeBroken(ended bool, now time.Time) (life string, requests []quarantine.Fingerprint) {
+// takeLostRequests ends an exit check. If the server has exited it returns each lost request once; otherwise they are
+// kept until they expire.
+func (u *upstream) takeLostRequests(ended bool, now time.Time) (incarnation string, requests []quarantine.Fingerprint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.checked = nil
-	u.broken = slices.DeleteFunc(u.broken, func(b broken) bool { return now.Sub(b.at) > brokenLife })
+	u.exitChecked = nil
+	u.lostRequests = slices.DeleteFunc(u.lostRequests, func(b lostRequest) bool { return now.Sub(b.at) > lostRequestTTL })
 	if !ended {
 		return "", nil
 	}
-	if u.endedAt.IsZero() || now.Sub(u.endedAt) >= endLife {
-		u.endedAt = now
+	if u.exitedAt.IsZero() || now.Sub(u.exitedAt) >= exitTTL {
+		u.exitedAt = now
 	}
-	for _, b := range u.broken {
+	for _, b := range u.lostRequests {
 		if !slices.Contains(requests, b.request) {
 			requests = append(requests, b.request)
 		}
 	}
-	u.broken = nil
-	return lifeName(u.server.ID, u.born), requests
+	u.lostRequests = nil
+	return incarnationName(u.server.ID, u.born), requests
 }
 
-// logsEnd adds requests to those of the line about the server's end; it reports whether they are the first, so that the line is
-// to be written.
-func (u *upstream) logsEnd(requests []quarantine.Fingerprint) bool {
+// queueExitLog adds requests to the log line of an exit and reports whether the caller has to write it.
+func (u *upstream) queueExitLog(requests []quarantine.Fingerprint) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	first := len(u.toLog) == 0
-	u.toLog = append(u.toLog, requests...)
+	first := len(u.exitLogRequests) == 0
+	u.exitLogRequests = append(u.exitLogRequests, requests...)
 	return first
 }
 
-// loggedEnd returns the requests of the line about the server's end.
-func (u *upstream) loggedEnd() []quarantine.Fingerprint {
+// takeExitLog returns the requests of the log line of an exit and clears them.
+func (u *upstream) takeExitLog() []quarantine.Fingerprint {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	requests := u.toLog
-	u.toLog = nil
+	requests := u.exitLogRequests
+	u.exitLogRequests = nil
 	return requests
 }
--- a/forward/ended_test.go
+++ b/forward/ended_test.go
@@ -9,36 +9,37 @@
 	"github.com/apex/log"
 )
 
-// TestEndsOfServersAreNoted proves that requests are noted at a server that has ended, and not where a connection alone broke off.
+// TestEndsOfServersAreNoted checks that requests lost by the exit of a server are recorded, and those lost by a broken connection
+// alone are not.
 func TestEndsOfServersAreNoted(t *testing.T) {
 	const message = "forward: a server ended under requests"
-	for name, ends := range map[string]bool{"the server ends": true, "its connection alone": false} {
+	for name, exits := range map[string]bool{"server exits": true, "connection breaks": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var server *fake
 			server = newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
-				if ends {
+				if exits {
 					server.end()
 				}
 				return reset(conn)
 			})
 			w := newWorld(t, false, server.address)
-			said := &lines{}
-			w.entry.log = &log.Logger{Handler: said, Level: log.InfoLevel}
+			logs := &lines{}
+			w.entry.log = &log.Logger{Handler: logs, Level: log.InfoLevel}
 			got := w.ask(http.MethodPost, "/once/a", "x", nil)
 			if got.status != http.StatusBadGateway {
 				t.Errorf("status %d, want 502", got.status)
 			}
-			time.Sleep(4 * endWait)
-			line := said.of(message)
-			if (line != nil) != ends {
-				t.Fatalf("noted: %t, want %t", line != nil, ends)
+			time.Sleep(4 * exitCheckTimeout)
+			line := logs.of(message)
+			if (line != nil) != exits {
+				t.Fatalf("exit logged: %t, want %t", line != nil, exits)
 			}
-			if ends && (line.Fields["life"] != serverName(0) || len(line.Fields["requests"].([]string)) != 1) {
-				t.Errorf("the line says %v", line.Fields)
+			if exits && (line.Fields["life"] != serverName(0) || len(line.Fields["requests"].([]string)) != 1) {
+				t.Errorf("exit logged with fields %v", line.Fields)
 			}
-			if told := said.of("request").Fields["fingerprint"]; told == nil {
-				t.Error("the request's line has no fingerprint")
+			if fingerprint := logs.of("request").Fields["fingerprint"]; fingerprint == nil {
+				t.Error("request logged without a fingerprint")
 			}
 		})
 	}
--- a/forward/enginefixture_test.go
+++ b/forward/enginefixture_test.go
@@ -13,11 +13,11 @@
 
 const (
 	engineModel = "m"
-	// usualRank is the rank of the engine's streams.
-	usualRank = 3
+	// testPriority is the priority of the streams' route.
+	testPriority = 3
 )
 
-// newEngineWorld returns an entry before model servers that run version 1.
+// newModelTestEnv returns an entry in front of model servers that run version 1.
 func newEngineWorld(t *testing.T, addresses ...string) *world {
 	t.Helper()
 	service := contract.Service{Name: "s", MaxConns: 100, Engine: &contract.Engine{
@@ -27,7 +27,7 @@
 	routes := []contract.Route{
 		{
 			Name: "stream", Host: "h", Prefix: "/stream/", Kind: contract.KindStream, TimeLimit: 3 * time.Second, Attempts: 2,
-			Goal: 500 * time.Millisecond, PauseGoal: 400 * time.Millisecond, Resumable: true, Priority: usualRank,
+			Goal: 500 * time.Millisecond, PauseGoal: 400 * time.Millisecond, Resumable: true, Priority: testPriority,
 		},
 		{
 			Name: "stream once", Host: "h", Prefix: "/stream/once/", Kind: contract.KindStream, TimeLimit: 3 * time.Second, Attempts: 2,
@@ -44,28 +44,27 @@
 			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{engineModel: 1},
 		})
 	}
-	w := newWorldOf(t, source)
+	w := newTestEnvFrom(t, source)
 	for i := range addresses {
 		w.report(i, false)
 	}
 	return w
 }
 
-// serverName is the id of a test's server.
 func serverName(i int) string { return "server" + strconv.Itoa(i) }
 
-// report has the box of a server say whether it closes.
+// reportClosing applies a report that says whether a server is closing.
 func (w *world) report(i int, closing bool) {
 	w.heard(i, link.Report{Closing: closing})
 }
 
-// heard takes a report of a server's box.
+// applyReport applies the report of a server's box.
 func (w *world) heard(i int, report link.Report) {
 	report.Server, report.Model, report.Version = serverName(i), engineModel, 1
 	w.entry.upstreams.heard(report, time.Now())
 }
 
-// pausing streams as much as it says, and the rest after a pause.
+// streamWithPause sends events up to first, and those up to to after a pause.
 func pausing(seal string, first, to int, pause time.Duration) answering {
 	return streaming(seal, first, func(conn net.Conn) {
 		time.Sleep(pause)
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -21,55 +21,54 @@
 )
 
 const (
-	// headerTime and idleCallerTime bound callers until a configuration says otherwise; headerRoom is what net/http
-	// reads of a header at most.
-	headerTime     = 5 * time.Second
-	idleCallerTime = 60 * time.Second
-	headerRoom     = 64 << 10
+	// Timeouts of callers' connections, and the longest request header that net/http reads.
+	headerTimeout     = 5 * time.Second
+	callerIdleTimeout = 60 * time.Second
+	maxHeaderBytes    = 64 << 10
 )
 
-// Config is what an entry works with.
+// Config holds the settings and dependencies of an entry.
 type Config struct {
 	Machine machine.Machine
 	View    *view.View
 	Wire    Wire
 	Log     log.Interface
-	// Callers and Ready take the callers' and the balancer's connections.
+	// Callers and Ready accept the connections of callers and of the balancer's readiness checks.
 	Callers net.Listener
 	Ready   net.Listener
-	// Links takes the links of other entries, to which this one tells the list of servers; Told is the view's source where one
-	// entry of a site tells it to the others. Nil where each entry reads it.
+	// Links accepts links of other entries that receive the server list from this one; PeerSource is the list source if one entry of a
+	// site relays the list to the others. Both are nil if each entry reads the list itself.
 	Links net.Listener
 	Told  *told.EntrySource
-	// Quarantine knows the requests under which servers end; without one the entry keeps one of its own.
+	// Quarantine records requests under which servers exited; if nil, the entry creates one for itself.
 	Quarantine *quarantine.Quarantine
 }
 
-// Entry takes callers' requests and calls upstreams directly.
+// Entry accepts callers' requests and sends them to upstreams directly.
 type Entry struct {
 	cfg       Config
 	log       log.Interface
 	transport *http.Transport
-	// fresh keeps no connections.
+	// oneShotTransport keeps no idle connections.
 	fresh     *http.Transport
 	upstreams upstreams
 	budget    *retry.Budget
 	admission admission.Services
 	returns   admission.Returns
-	siblings  *siblings
-	reports   *reports
+	peers     *peerNotifier
+	boxLinks  *boxLinks
 	reader    *listReader
 	callers   *http.Server
 	ready     *http.Server
 	conns     callerConns
 	calls     calls
-	// closes is when a leaving entry closes the connections that rest at the latest; it is set before leaving is.
-	closes  atomic.Pointer[time.Time]
-	leaving atomic.Bool
-	began   time.Time
+	// closesIdleAt is when a leaving entry closes idle connections at the latest; it is set before leaving.
+	closesIdleAt atomic.Pointer[time.Time]
+	leaving      atomic.Bool
+	began        time.Time
 }
 
-// New returns an entry that does not run yet.
+// New returns an entry, which serves once its Parts run.
 func New(cfg Config) *Entry {
 	bounds := cfg.Machine.Bounds
 	e := &Entry{
@@ -81,42 +80,42 @@
 		e.cfg.Quarantine = quarantine.New(quarantine.Options{Entry: cfg.Machine.ID, Log: cfg.Log})
 	}
 	e.fresh.DisableKeepAlives = true
-	e.upstreams.weigh, e.upstreams.sharers = e.weigh, e.sharers
-	e.reports = newReports(e)
+	e.upstreams.subsetWeights, e.upstreams.sharers = e.subsetWeights, e.sharers
+	e.boxLinks = newBoxLinks(e)
 	e.cfg.Quarantine.OnNews(func(held bool) {
 		if held {
 			e.takeBackHeld()
 		}
-		e.reports.wake()
+		e.boxLinks.wake()
 	})
 	e.reader = newListReader(e)
-	e.siblings = newSiblings(e)
+	e.peers = newPeerNotifier(e)
 	e.callers = &http.Server{
-		Handler: countPanics(e), ReadHeaderTimeout: headerTime, IdleTimeout: idleCallerTime, MaxHeaderBytes: headerRoom,
+		Handler: countPanics(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: e.errorLog("entry: the callers' server says"), ConnState: e.conns.note,
 	}
 	e.ready = &http.Server{
-		Handler: countPanics(http.HandlerFunc(e.serveReady)), ReadHeaderTimeout: headerTime,
+		Handler: countPanics(http.HandlerFunc(e.serveReady)), ReadHeaderTimeout: headerTimeout,
 		ErrorLog: e.errorLog("entry: the balancer's server says"),
 	}
 	return e
 }
 
-// Parts returns what runs in the entry.
+// Parts returns the services of the entry for its supervisor.
 func (e *Entry) Parts() []supervise.Part {
 	parts := []supervise.Part{
 		{Name: "callers", Run: func(ctx context.Context) error { return serve(ctx, e.callers, e.cfg.Callers) }},
 		{Name: "ready", Run: func(ctx context.Context) error { return serve(ctx, e.ready, e.cfg.Ready) }},
 		{Name: "upstreams", Run: e.followServers},
-		{Name: "reports", Run: e.reports.serve},
-		{Name: "ways", Run: e.reports.measureWays},
+		{Name: "reports", Run: e.boxLinks.serve},
+		{Name: "ways", Run: e.boxLinks.measureRTTs},
 		{Name: "quarantine", Run: e.cfg.Quarantine.ServeReads},
 		{Name: "quarantine writes", Run: e.cfg.Quarantine.ServeWrites},
 	}
 	if e.cfg.Told != nil && e.cfg.Links != nil {
 		parts = append(parts,
 			supervise.Part{Name: "links", Run: e.reader.serveLinks}, supervise.Part{Name: "list", Run: e.reader.serve},
-			supervise.Part{Name: "siblings", Run: e.siblings.serve},
+			supervise.Part{Name: "siblings", Run: e.peers.serve},
 		)
 	}
 	return parts
@@ -140,14 +139,14 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// followServers keeps the upstreams as the list has them.
+// followServers applies the server list to the upstreams whenever it changes, until ctx ends.
 func (e *Entry) followServers(ctx context.Context) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
 	for {
 		changed := e.cfg.View.Changed()
 		e.upstreams.update(e.cfg.View.Servers())
-		e.reports.wake()
+		e.boxLinks.wake()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -22,7 +22,7 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// testWire is a wire with headers of its own.
+// testWire implements Wire with short header names.
 type testWire struct{}
 
 func (testWire) Ask(r *http.Request) Ask {
@@ -33,14 +33,14 @@
 	}
 }
 
-func (testWire) Outgoing(h http.Header, send Send) {
+func (testWire) Outgoing(h http.Header, info Send) {
 	h.Del("Key")
-	h.Set("Wait", strconv.FormatInt(send.Left.Milliseconds(), 10))
-	h.Set("Expect", send.Server)
-	h.Set("Team", send.Team)
-	h.Set("Rank", strconv.Itoa(send.Priority))
-	if send.LastEvent != "" {
-		h.Set("Last", send.LastEvent)
+	h.Set("Wait", strconv.FormatInt(info.Left.Milliseconds(), 10))
+	h.Set("Expect", info.Server)
+	h.Set("Team", info.Team)
+	h.Set("Rank", strconv.Itoa(info.Priority))
+	if info.LastEvent != "" {
+		h.Set("Last", info.LastEvent)
 	}
 }
 
@@ -75,7 +75,7 @@
 	return contract.Version(n), true
 }
 
-// fixedSource tells a view one world and then nothing more.
+// fixedSource returns one state and never changes.
 type fixedSource struct {
 	declared view.Declared
 	servers  view.Servers
@@ -95,7 +95,7 @@
 	return view.Servers{}, ctx.Err()
 }
 
-// world is an entry before servers of the test's own.
+// testEnv is an entry in front of test servers.
 type world struct {
 	t     *testing.T
 	entry *Entry
@@ -115,7 +115,7 @@
 	{Name: "stream once", Host: "h", Prefix: "/stream/once/", Kind: contract.KindStream, TimeLimit: 3 * time.Second, Attempts: 2},
 }
 
-// newWorld returns an entry before servers at addresses; all routes lead to them.
+// newTestEnv returns an entry in front of servers at addresses; all routes lead to them.
 func newWorld(t *testing.T, keyed bool, addresses ...string) *world {
 	t.Helper()
 	routes := make([]contract.Route, len(testRoutes))
@@ -135,10 +135,10 @@
 			ID: serverName(i), Service: "s", Address: address, Slots: 4,
 		})
 	}
-	return newWorldOf(t, source)
+	return newTestEnvFrom(t, source)
 }
 
-func newWorldOf(t *testing.T, source view.Source) *world {
+func newTestEnvFrom(t *testing.T, source view.Source) *world {
 	t.Helper()
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
 	v := view.New(source, view.Options{Log: logger})
@@ -154,7 +154,7 @@
 	for deadline := time.Now().Add(2 * time.Second); !v.Ready() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	// The entry has run for long, and is the only one.
+	// The entry has been running for long, and is the only one.
 	e.budget.StartedAt(time.Time{})
 	e.budget.SetEntries(1)
 	e.upstreams.update(v.Servers())
@@ -168,7 +168,7 @@
 	return &world{t: t, entry: e, url: server.URL}
 }
 
-// result is what a caller gets; err tells of an answer that was cut.
+// result is a response as the caller received it; err is set if it was cut off.
 type result struct {
 	status int
 	header http.Header
@@ -199,7 +199,7 @@
 	return result{status: resp.StatusCode, header: resp.Header, body: string(got), closes: resp.Close, err: err}
 }
 
-// fake is a server of the test's own that answers with raw bytes.
+// fakeServer is a server that answers with raw bytes.
 type fake struct {
 	address  string
 	listener net.Listener
@@ -209,7 +209,7 @@
 	conns    []net.Conn
 }
 
-// end ends the server: nothing listens there any more, and its connections break off.
+// end stops the server: it no longer listens, and its connections are closed.
 func (f *fake) end() {
 	_ = f.listener.Close()
 	f.mu.Lock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// newFake starts a server; answer writes what it likes for each request, and false ends the connection.
+// newFakeServer starts a server; answer writes the response to each request and returns false to close the connection.
 func newFake(t *testing.T, answer answering) *fake {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -266,7 +266,7 @@
 	}
 }
 
-// arrivals returns how many requests have come.
+// arrivals returns the number of requests received.
 func (f *fake) arrivals() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -278,7 +278,7 @@
 	return err == nil
 }
 
-// whole is a good answer to request r1.
+// okResponse is a complete response to request r1.
 const whole = "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 5\n\nhello"
 
 func good(conn net.Conn, _ int, _ *http.Request) bool { return raw(conn, whole) }
@@ -289,7 +289,7 @@
 	return func(conn net.Conn, _ int, _ *http.Request) bool { return raw(conn, text) }
 }
 
-// firstThen answers the first request of all servers that share it in one way and the later ones in another.
+// firstThen answers the first request of all servers that share it differently from later ones.
 func firstThen(first, then answering) answering {
 	var seen atomic.Int64
 	return func(conn net.Conn, n int, r *http.Request) bool {
@@ -300,7 +300,7 @@
 	}
 }
 
-// reset ends a connection so that its peer sees that it was broken off.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) bool {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -8,42 +8,42 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// follower is a box that this entry tells what it needs of what the store holds.
+// follower is a box that receives the parts of the configuration and the server list that it needs.
 type follower struct {
 	service string
-	// services and servers are what it was told last; nil before the first time.
+	// services and servers are the state sent last; nil before the first message.
 	services []contract.Service
 	servers  map[string]contract.Server
-	away     bool
+	sentAway bool
 }
 
-// follow takes a box's ask to be told, or its end.
-func (rs *reports) follow(conn *link.Conn, service string) {
-	rs.mu.Lock()
+// setFollower makes a box a follower for a service; an empty service ends that.
+func (bl *boxLinks) setFollower(conn *link.Conn, service string) {
+	bl.mu.Lock()
 	if service == "" {
-		delete(rs.followers, conn)
+		delete(bl.followers, conn)
 	} else {
-		rs.followers[conn] = &follower{service: service}
+		bl.followers[conn] = &follower{service: service}
 	}
-	rs.mu.Unlock()
-	rs.wake()
+	bl.mu.Unlock()
+	bl.wake()
 }
 
-// tellFollowers tells all followers what changed since the last time; one whose link is full is given up.
-func (rs *reports) tellFollowers() {
-	v := rs.entry.cfg.View
+// updateFollowers sends all followers what has changed since the last update, and closes links without room.
+func (bl *boxLinks) updateFollowers() {
+	v := bl.entry.cfg.View
 	cfg := v.Config()
 	if cfg == nil || !v.Ready() {
 		return
 	}
-	rs.tellListFollowers()
-	listed := byService(v.Servers())
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	for conn, f := range rs.followers {
-		for _, msg := range f.news(cfg, listed[f.service], v.InTouch()) {
-			if !tellNow(conn, msg) {
-				delete(rs.followers, conn)
+	bl.publishList()
+	listed := listedByService(v.Servers())
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	for conn, f := range bl.followers {
+		for _, msg := range f.updates(cfg, listed[f.service], v.InTouch()) {
+			if !trySend(conn, msg) {
+				delete(bl.followers, conn)
 				conn.Close()
 				break
 			}
@@ -51,8 +51,8 @@
 	}
 }
 
-// byService returns the servers that are listed now, by service and id.
-func byService(servers []view.Listed) map[string]map[string]contract.Server {
+// listedByService returns the servers that are listed now, by service and ID.
+func listedByService(servers []view.Listed) map[string]map[string]contract.Server {
 	listed := make(map[string]map[string]contract.Server)
 	for _, server := range servers {
 		if !server.Missing.IsZero() {
@@ -66,18 +66,18 @@
 	return listed
 }
 
-// news returns what a follower has not been told yet, and notes that it is.
-func (f *follower) news(cfg *contract.Config, servers map[string]contract.Server, inTouch bool) []link.Message {
-	if !inTouch {
-		if f.away {
+// updates returns the messages that a follower lacks, and records them as sent.
+func (f *follower) updates(cfg *contract.Config, servers map[string]contract.Server, storeReachable bool) []link.Message {
+	if !storeReachable {
+		if f.sentAway {
 			return nil
 		}
-		f.away, f.services, f.servers = true, nil, nil
+		f.sentAway, f.services, f.servers = true, nil, nil
 		return []link.Message{&link.Declared{Away: true}}
 	}
-	f.away = false
+	f.sentAway = false
 	var msgs []link.Message
-	if services := needed(cfg, f.service); !reflect.DeepEqual(services, f.services) {
+	if services := neededServices(cfg, f.service); !reflect.DeepEqual(services, f.services) {
 		f.services = services
 		msgs = append(msgs, &link.Declared{Revision: cfg.Revision, Services: services})
 	}
@@ -92,8 +92,8 @@
 	return msgs
 }
 
-// needed returns the services of a configuration that a box of one of them needs.
-func needed(cfg *contract.Config, service string) []contract.Service {
+// neededServices returns the services of a configuration that a box of the given one needs: its own and all origins.
+func neededServices(cfg *contract.Config, service string) []contract.Service {
 	var services []contract.Service
 	if own := cfg.Service(service); own != nil {
 		services = append(services, *own)
--- a/forward/followers_test.go
+++ b/forward/followers_test.go
@@ -22,44 +22,44 @@
 		return servers
 	}
 	for name, test := range map[string]struct {
-		cfg     *contract.Config
-		servers map[string]contract.Server
-		inTouch bool
-		want    []string
+		cfg            *contract.Config
+		servers        map[string]contract.Server
+		storeReachable bool
+		want           []string
 	}{
-		"nothing new":                     {config(1, 3, "h:1"), listed("a", "b"), true, nil},
-		"many routes more are not told":   {config(2, 2000, "h:1"), listed("a", "b"), true, nil},
-		"another origin":                  {config(2, 3, "h:2"), listed("a", "b"), true, []string{"services 2"}},
-		"a server comes and another goes": {config(1, 3, "h:1"), listed("a", "c"), true, []string{"1 present, 1 gone, reset false"}},
-		"the store is lost":               {config(1, 3, "h:1"), listed("a", "b"), false, []string{"away"}},
+		"no change":                        {config(1, 3, "h:1"), listed("a", "b"), true, nil},
+		"more routes":                      {config(2, 2000, "h:1"), listed("a", "b"), true, nil},
+		"changed origin":                   {config(2, 3, "h:2"), listed("a", "b"), true, []string{"services 2"}},
+		"server added and another removed": {config(1, 3, "h:1"), listed("a", "c"), true, []string{"1 present, 1 gone, reset false"}},
+		"store lost":                       {config(1, 3, "h:1"), listed("a", "b"), false, []string{"away"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := &follower{service: "s"}
-			first := textsOf(f.news(config(1, 3, "h:1"), listed("a", "b"), true))
+			first := describeMessages(f.updates(config(1, 3, "h:1"), listed("a", "b"), true))
 			if want := "[services 2 2 present, 0 gone, reset true]"; fmt.Sprint(first) != want {
-				t.Fatalf("first told %v, want %s", first, want)
+				t.Fatalf("first messages %v, want %s", first, want)
 			}
-			if got := textsOf(f.news(test.cfg, test.servers, test.inTouch)); fmt.Sprint(got) != fmt.Sprint(test.want) {
-				t.Errorf("told %v, want %v", got, test.want)
+			if got := describeMessages(f.updates(test.cfg, test.servers, test.storeReachable)); fmt.Sprint(got) != fmt.Sprint(test.want) {
+				t.Errorf("messages %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestFollowerHearsAllWhenTheStoreIsBack(t *testing.T) {
+func TestFollowerGetsEverythingAfterStoreRecovery(t *testing.T) {
 	cfg := contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{{Name: "s"}}, nil)
 	f := &follower{service: "s"}
-	f.news(cfg, nil, true)
-	f.news(cfg, nil, false)
-	if again := f.news(cfg, nil, false); len(again) != 0 {
-		t.Errorf("told %v twice", textsOf(again))
+	f.updates(cfg, nil, true)
+	f.updates(cfg, nil, false)
+	if again := f.updates(cfg, nil, false); len(again) != 0 {
+		t.Errorf("messages %v sent twice", describeMessages(again))
 	}
-	if got := textsOf(f.news(cfg, nil, true)); len(got) != 2 {
-		t.Errorf("told %v, want services and servers", got)
+	if got := describeMessages(f.updates(cfg, nil, true)); len(got) != 2 {
+		t.Errorf("messages %v, want services and servers", got)
 	}
 }
 
-func textsOf(msgs []link.Message) []string {
+func describeMessages(msgs []link.Message) []string {
 	var texts []string
 	for _, msg := range msgs {
 		switch m := msg.(type) {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -12,14 +12,14 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// torn ends within the answer.
-func torn(conn net.Conn, _ int, _ *http.Request) bool {
+// truncated sends an incomplete body and resets the connection.
+func truncated(conn net.Conn, _ int, _ *http.Request) bool {
 	raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 50\n\nhel")
 	return reset(conn)
 }
 
-// answerTest is a request, how the first server asked answers it, and what must come of that.
-type answerTest struct {
+// responseTest is a request, the response of the first server to receive it, and the expected result.
+type responseTest struct {
 	path     string
 	method   string
 	first    answering
@@ -28,40 +28,39 @@
 	arrivals int
 }
 
-// answerTests are the answers that servers may give.
-var answerTests = map[string]answerTest{
-	"whole":                          {"/once/a", "POST", good, 200, "hello", 1},
-	"a failure of the server, once":  {"/once/a", "POST", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 500, "no", 1},
-	"a failure of the server, safe":  {"/safe/a", "GET", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 200, "hello", 2},
-	"without a seal, once":           {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 502, "", 1},
-	"without a seal, safe":           {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 200, "hello", 2},
-	"to another request, once":       {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 502, "", 1},
-	"to another request, safe":       {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 200, "hello", 2},
-	"torn, once":                     {"/once/a", "POST", torn, 502, "", 1},
-	"torn, safe":                     {"/safe/a", "GET", torn, 200, "hello", 2},
-	"no answer in the protocol":      {"/once/a", "POST", saying("garbage\n\n"), 502, "", 1},
-	"encoded":                        {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Encoding: gzip\nContent-Length: 5\n\nhello"), 502, "", 1},
-	"not run, once":                  {"/once/a", "POST", saying("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
-	"misdirected, once":              {"/once/a", "POST", saying("HTTP/1.1 421 No\nContent-Length: 0\n\n"), 200, "hello", 2},
-	"a connection that closes, once": {"/once/two/a", "POST", func(net.Conn, int, *http.Request) bool { return false }, 502, "", 1},
-	"a connection that closes, safe": {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { return false }, 200, "hello", 2},
-	"unframed and ended": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
+var responseTests = map[string]responseTest{
+	"complete":                {"/once/a", "POST", good, 200, "hello", 1},
+	"server error, once":      {"/once/a", "POST", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 500, "no", 1},
+	"server error, safe":      {"/safe/a", "GET", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 200, "hello", 2},
+	"no seal, once":           {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 502, "", 1},
+	"no seal, safe":           {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 200, "hello", 2},
+	"wrong request ID, once":  {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 502, "", 1},
+	"wrong request ID, safe":  {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 200, "hello", 2},
+	"truncated, once":         {"/once/a", "POST", truncated, 502, "", 1},
+	"truncated, safe":         {"/safe/a", "GET", truncated, 200, "hello", 2},
+	"not HTTP":                {"/once/a", "POST", saying("garbage\n\n"), 502, "", 1},
+	"content encoding":        {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Encoding: gzip\nContent-Length: 5\n\nhello"), 502, "", 1},
+	"not run, once":           {"/once/a", "POST", saying("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"misdirected, once":       {"/once/a", "POST", saying("HTTP/1.1 421 No\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"connection closed, once": {"/once/two/a", "POST", func(net.Conn, int, *http.Request) bool { return false }, 502, "", 1},
+	"connection closed, safe": {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { return false }, 200, "hello", 2},
+	"no length, connection closed": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
 		raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhello")
 		return false
 	}, 200, "hello", 1},
-	"unframed and broken off": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
+	"no length, connection reset": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
 		raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhel")
 		time.Sleep(50 * time.Millisecond)
 		return reset(conn)
 	}, 502, "", 1},
-	"silent beyond the route's time":         {"/short/a", "POST", func(net.Conn, int, *http.Request) bool { time.Sleep(time.Second); return false }, 504, "", 1},
-	"silent, safe":                           {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { time.Sleep(5 * time.Second); return false }, 200, "hello", 2},
-	"a failure that is not run is no answer": {"/safe/a", "GET", saying("HTTP/1.1 429 No\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"no response within the route's time limit": {"/short/a", "POST", func(net.Conn, int, *http.Request) bool { time.Sleep(time.Second); return false }, 504, "", 1},
+	"no response, safe":                         {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { time.Sleep(5 * time.Second); return false }, 200, "hello", 2},
+	"429 not run":                               {"/safe/a", "GET", saying("HTTP/1.1 429 No\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
 }
 
-// TestAnswers proves what callers get of each kind of answer of the first server asked, and how many servers saw it.
+// TestAnswers checks what callers get for each kind of response of the first server, and how many servers receive the request.
 func TestAnswers(t *testing.T) {
-	for name, test := range answerTests {
+	for name, test := range responseTests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			answer := firstThen(test.first, good)
@@ -72,7 +71,7 @@
 				t.Errorf("answer %d %q %v, want %d %q", got.status, got.body, got.err, test.status, test.body)
 			}
 			if n := a.arrivals() + b.arrivals(); n != test.arrivals {
-				t.Errorf("%d servers saw the request, want %d", n, test.arrivals)
+				t.Errorf("request was sent %d times, want %d", n, test.arrivals)
 			}
 		})
 	}
@@ -89,7 +88,7 @@
 	}
 	r := a.got[0]
 	if r.RequestURI != "/once/%2Fa%20b/?q=1&q=%31" || r.Host != "h" || a.bodies[0] != "the body" {
-		t.Errorf("%s at %s with %q arrived", r.RequestURI, r.Host, a.bodies[0])
+		t.Errorf("server received %s at %s with body %q", r.RequestURI, r.Host, a.bodies[0])
 	}
 	for header, want := range map[string]string{"Own": "kept", "Hop": "", "Key": "", "Team": "team", "Expect": "server0", "Id": "r1"} {
 		if got := r.Header.Get(header); got != want {
@@ -105,13 +104,13 @@
 		header    map[string]string
 		status    int
 	}{
-		"no route":               {path: "/nowhere/", key: "good", status: 404},
-		"unknown key":            {path: "/safe/a", key: "bad", status: 401},
-		"no key":                 {path: "/safe/a", status: 401},
-		"no key on a public way": {path: "/open/a", status: 200},
-		"known key":              {path: "/safe/a", key: "good", status: 200},
-		"long body":              {path: "/safe/a", key: "good", body: strings.Repeat("x", 2<<20), status: 413},
-		"long header":            {path: "/safe/a", key: "good", header: map[string]string{"Long": strings.Repeat("x", 8<<10)}, status: 431},
+		"no route":                 {path: "/nowhere/", key: "good", status: 404},
+		"unknown key":              {path: "/safe/a", key: "bad", status: 401},
+		"no key":                   {path: "/safe/a", status: 401},
+		"no key on a public route": {path: "/open/a", status: 200},
+		"known key":                {path: "/safe/a", key: "good", status: 200},
+		"long body":                {path: "/safe/a", key: "good", body: strings.Repeat("x", 2<<20), status: 413},
+		"long header":              {path: "/safe/a", key: "good", header: map[string]string{"Long": strings.Repeat("x", 8<<10)}, status: 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newFake(t, good)
@@ -132,10 +131,10 @@
 }
 
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
-	w := newWorldOf(t, fixedSource{servers: view.Servers{}})
+	w := newTestEnvFrom(t, fixedSource{servers: view.Servers{}})
 	got := w.ask("GET", "/safe/a", "", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("answer %d, Retry-After %q, want 503 with the time to come back", got.status, got.header.Get("Retry-After"))
+		t.Errorf("answer %d, Retry-After %q, want 503 with Retry-After", got.status, got.header.Get("Retry-After"))
 	}
 }
 
@@ -143,11 +142,11 @@
 	w := newWorld(t, false)
 	got := w.ask("POST", "/once/a", "", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, "not-run") {
-		t.Errorf("answer %d %q, want that it has not run, with the time to come back", got.status, got.body)
+		t.Errorf("answer %d %q, want outcome not-run with Retry-After", got.status, got.body)
 	}
 }
 
-// TestKeptConnectionIsNotResent proves that net/http does not send a request again by itself when a kept connection ends.
+// TestKeptConnectionIsNotResent checks that net/http does not resend a request by itself when a keep-alive connection closes.
 func TestKeptConnectionIsNotResent(t *testing.T) {
 	for name, method := range map[string]string{"GET": "GET", "POST without a body": "POST", "DELETE": "DELETE"} {
 		t.Run(name, func(t *testing.T) {
@@ -198,7 +197,7 @@
 	select {
 	case <-gone:
 	case <-time.After(time.Second):
-		t.Error("the server still works for a caller that has gone")
+		t.Error("request was not cancelled after its caller left")
 	}
 }
 
@@ -223,7 +222,7 @@
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.failures != 0 || !up.ejectedUntil.IsZero() {
-		t.Errorf("%d failures of a healthy server whose callers left", up.failures)
+		t.Errorf("%d failures recorded for a healthy server whose callers left", up.failures)
 	}
 }
 
@@ -239,12 +238,12 @@
 	w.entry.leaving.Store(true)
 	got := <-answered
 	if got.status != 200 || !got.closes {
-		t.Errorf("answer %d, closes %t, want a whole answer on a connection that closes", got.status, got.closes)
+		t.Errorf("answer %d, closes %t, want a complete answer on a connection that closes", got.status, got.closes)
 	}
 	recorder := &statusRecorder{}
 	w.entry.serveReady(recorder, nil)
 	if recorder.status != http.StatusServiceUnavailable {
-		t.Errorf("a leaving entry says %d to the balancer", recorder.status)
+		t.Errorf("readiness check of a leaving entry returned %d", recorder.status)
 	}
 }
 
@@ -256,9 +255,9 @@
 
 func TestRoutesBySplit(t *testing.T) {
 	route := contract.Route{Split: []contract.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
-	for turn, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
-		if got := route.Service(turn); got != want {
-			t.Errorf("turn %v leads to %s, want %s", turn, got, want)
+	for fraction, want := range map[float64]string{0: "a", 0.89: "a", 0.91: "b", 0.999: "b"} {
+		if got := route.Service(fraction); got != want {
+			t.Errorf("fraction %v leads to %s, want %s", fraction, got, want)
 		}
 	}
 }
--- a/forward/keep.go
+++ b/forward/keep.go
@@ -10,24 +10,23 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// An entry of a large fleet keeps to some servers of a model service: it hears their boxes, and uses the others only when none of
-// its own can take a request. What a link costs is the same for both ends, so that each has a bounded number of them (204 boxes
-// and 53 entries had 10,812, which took three quarters of all processor time).
+// In a large fleet an entry links to a subset of the servers of a model service, which bounds the number of links at
+// both ends. It uses the other servers only when none of its subset can take a request.
 
-// countTime is how long after its start an entry does not go by how many entries boxes hear: while all of them start each would
-// take itself for one of few, and link to all boxes.
+// entryCountDelay is how long after its start an entry ignores the reported number of entries: while all entries start,
+// the number is too low and each would link to all boxes.
 const countTime = 5 * time.Second
 
-// countedEntries returns how many entries there are, 0 while that is not known.
-func (e *Entry) countedEntries() int {
+// knownEntryCount returns the number of entries, 0 while it is unknown.
+func (e *Entry) knownEntryCount() int {
 	if clock.Since(e.began) < countTime {
 		return 0
 	}
 	return e.budget.Entries()
 }
 
-// weigh returns the servers that the entry keeps to, by id, with for how many entries it stands there.
-func (e *Entry) weigh(servers []view.Listed) map[string]float64 {
+// subsetWeights returns the weights of the servers in the entry's subset, by ID.
+func (e *Entry) subsetWeights(servers []view.Listed) map[string]float64 {
 	cfg := e.cfg.View.Config()
 	weights := make(map[string]float64, len(servers))
 	boxes, ids := make(map[string][]subset.Box), make(map[string][]string)
@@ -40,15 +39,15 @@
 		case server.Leaving:
 			weights[server.ID] = e.upstreams.weight(server.ID)
 		default:
-			at := server.Service + "/" + host
-			if len(ids[at]) == 0 {
+			key := server.Service + "/" + host
+			if len(ids[key]) == 0 {
 				boxes[server.Service] = append(boxes[server.Service], subset.Box{Host: host, Site: server.Site})
 			}
-			ids[at] = append(ids[at], server.ID)
+			ids[key] = append(ids[key], server.ID)
 		}
 	}
-	for service, of := range boxes {
-		for _, chosen := range subset.Choose(e.cfg.Machine.ID, e.cfg.Machine.Site, of, e.countedEntries()) {
+	for service, candidates := range boxes {
+		for _, chosen := range subset.Choose(e.cfg.Machine.ID, e.cfg.Machine.Site, candidates, e.knownEntryCount()) {
 			for _, id := range ids[service+"/"+chosen.Host] {
 				weights[id] = chosen.Weight
 			}
@@ -57,7 +56,7 @@
 	return weights
 }
 
-// weight returns for how many entries this one stands at a server; 0 where it does not keep to it.
+// weight returns the number of entries that this one represents at a server; 0 outside its subset.
 func (us *upstreams) weight(id string) float64 {
 	up := us.byServer(id)
 	if up == nil {
@@ -68,9 +67,8 @@
 	return up.weight
 }
 
-// keptTo tells what a link to the box of a server is for: for how many entries this one stands there, and whether requests are in
-// progress at it.
-func (u *upstream) keptTo() (server contract.Server, weight float64, busy bool) {
+// linkInfo returns what determines whether to link to the server's box: its weight and whether requests are in flight.
+func (u *upstream) linkInfo() (server contract.Server, weight float64, busy bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.server, u.weight, u.inFlight > 0
--- a/forward/keep_test.go
+++ b/forward/keep_test.go
@@ -10,8 +10,8 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// keepWorld returns an entry and the list of many servers in sites, at boxes of their own.
-func keepWorld(t *testing.T, servers, sites int) (*world, []view.Listed) {
+// newSubsetEnv returns an entry and a list of servers spread over sites, each at a box of its own.
+func newSubsetEnv(t *testing.T, servers, sites int) (*world, []view.Listed) {
 	t.Helper()
 	w := newEngineWorld(t, "10.0.0.1:1")
 	w.entry.cfg.Machine.Site = "site0"
@@ -26,98 +26,99 @@
 	return w, listed
 }
 
-// TestEntryKeepsToSomeServers proves that an entry of a large fleet uses and hears a bounded number of servers, and the others only
-// when none of these can take a request.
-func TestEntryKeepsToSomeServers(t *testing.T) {
+// TestEntryUsesServerSubset checks that an entry of a large fleet uses and links to a bounded number of servers, and uses the others
+// only when none of these can take a request.
+func TestEntryUsesServerSubset(t *testing.T) {
 	for name, test := range map[string]struct {
 		servers, sites int
-		kept           int
+		size           int
 	}{
-		"a small fleet whole": {20, 3, 20},
-		"hundreds":            {204, 5, 40},
-		"more hundreds":       {800, 5, 40},
+		"small fleet":      {20, 3, 20},
+		"large fleet":      {204, 5, 40},
+		"very large fleet": {800, 5, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, listed := keepWorld(t, test.servers, test.sites)
-			if n := len(w.entry.upstreams.of("s")); n != test.kept {
-				t.Errorf("it keeps to %d servers before it knows of other entries, want %d", n, test.kept)
+			w, listed := newSubsetEnv(t, test.servers, test.sites)
+			if n := len(w.entry.upstreams.of("s")); n != test.size {
+				t.Errorf("subset of %d servers before other entries are known, want %d", n, test.size)
 			}
 			w.entry.began = w.entry.began.Add(-countTime)
 			w.entry.budget.SetEntries(test.servers)
 			w.entry.upstreams.update(listed)
-			kept := w.entry.upstreams.of("s")
-			if len(kept) != test.kept {
-				t.Fatalf("it keeps to %d servers, want %d", len(kept), test.kept)
+			preferred := w.entry.upstreams.of("s")
+			if len(preferred) != test.size {
+				t.Fatalf("subset of %d servers, want %d", len(preferred), test.size)
 			}
-			wanted, _ := w.entry.reports.wanted(w.entry.cfg.View.Config())
-			if len(wanted) != test.kept {
-				t.Errorf("it links to %d boxes, want %d", len(wanted), test.kept)
+			wanted, _ := w.entry.boxLinks.wantedLinks(w.entry.cfg.View.Config())
+			if len(wanted) != test.size {
+				t.Errorf("links to %d boxes, want %d", len(wanted), test.size)
 			}
 			want := shortRequest(w)
 			ch, ok := w.entry.choose(want, time.Now())
-			if !ok || ch.among != test.kept {
-				t.Errorf("chosen %t among %d servers, want %d", ok, ch.among, test.kept)
+			if !ok || ch.among != test.size {
+				t.Errorf("server chosen: %t, among %d servers, want %d", ok, ch.among, test.size)
 			}
 			want.not = make(map[string]bool)
-			for _, up := range kept {
+			for _, up := range preferred {
 				want.not[up.server.ID] = true
 			}
 			ch, ok = w.entry.choose(want, time.Now())
-			if others := test.servers > test.kept; ok != others || others && w.entry.upstreams.weight(ch.server.ID) != 0 {
-				t.Errorf("with none of them left one is chosen %t: %s", ok, ch.server.ID)
+			if others := test.servers > test.size; ok != others || others && w.entry.upstreams.weight(ch.server.ID) != 0 {
+				t.Errorf("with the subset excluded, server chosen: %t, %s", ok, ch.server.ID)
 			}
 		})
 	}
 }
 
-// shortRequest is what a short request wants.
+// shortRequest returns the requirements of a short request.
 func shortRequest(w *world) wanted {
 	return wanted{service: w.entry.cfg.View.Config().Service("s"), model: engineModel, prompt: 100, answer: 50}
 }
 
-// TestLeavingServersAreHeardToTheEnd proves that an entry goes on to hear the box of a server that leaves, and one that it no longer
-// keeps to while requests are in progress there.
-func TestLeavingServersAreHeardToTheEnd(t *testing.T) {
-	w, listed := keepWorld(t, 204, 5)
+// TestLinksToLeavingServersStayOpen checks that an entry keeps its links to leaving servers, and to servers outside its subset while
+// requests are in flight there.
+func TestLinksToLeavingServersStayOpen(t *testing.T) {
+	w, listed := newSubsetEnv(t, 204, 5)
 	cfg := w.entry.cfg.View.Config()
-	leaves, busy := w.entry.upstreams.of("s")[0].server.ID, w.entry.upstreams.besides("s")[0]
+	leaving, busy := w.entry.upstreams.of("s")[0].server.ID, w.entry.upstreams.besides("s")[0]
 	for i := range listed {
-		if listed[i].ID == leaves {
+		if listed[i].ID == leaving {
 			listed[i].Leaving = true
 		}
 	}
 	busy.take(100, 0, 1, time.Now())
 	w.entry.upstreams.update(listed)
-	wanted, inProgress := w.entry.reports.wanted(cfg)
+	wanted, inProgress := w.entry.boxLinks.wantedLinks(cfg)
 	if len(wanted) != 41 {
-		t.Errorf("links to %d boxes are wanted, want 40 and that of the server that leaves", len(wanted))
+		t.Errorf("links to %d boxes wanted, want 40 and that of the leaving server", len(wanted))
 	}
 	n := 0
-	for _, serves := range inProgress {
-		if serves {
+	for _, inUse := range inProgress {
+		if inUse {
 			n++
 		}
 	}
 	if n != 1 {
-		t.Errorf("requests are in progress at %d servers, want 1", n)
+		t.Errorf("requests in flight at %d servers, want 1", n)
 	}
 }
 
-// TestEntriesAreCountedByTheirWeights proves that the number of entries that share the budget is right where each hears some boxes.
+// TestEntriesAreCountedByTheirWeights checks the number of entries that share the retry budget where each entry links to some of the
+// boxes.
 func TestEntriesAreCountedByTheirWeights(t *testing.T) {
 	for name, test := range map[string]struct {
 		reports []link.Report
 		want    int
 	}{
-		"all hear all":                       {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 5, Standing: 5}}, 5},
-		"a box that has just started":        {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 1, Standing: 1}}, 5},
-		"some hear each":                     {[]link.Report{{Entries: 9, Standing: 40}, {Entries: 11, Standing: 66}}, 53},
-		"boxes that do not tell the weights": {[]link.Report{{Entries: 5}, {Entries: 4}}, 5},
+		"all entries at all boxes":     {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 5, Standing: 5}}, 5},
+		"a box that has just started":  {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 1, Standing: 1}}, 5},
+		"some entries at each box":     {[]link.Report{{Entries: 9, Standing: 40}, {Entries: 11, Standing: 66}}, 53},
+		"boxes that report no weights": {[]link.Report{{Entries: 5}, {Entries: 4}}, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newEngineWorld(t, "10.0.0.1:1")
 			for i, report := range test.reports {
-				w.entry.reports.count(fmt.Sprint("box", i), &report)
+				w.entry.boxLinks.updateEntryCount(fmt.Sprint("box", i), &report)
 			}
 			if got := w.entry.budget.Entries(); got != test.want {
 				t.Errorf("%d entries share the budget, want %d", got, test.want)
--- a/forward/leave.go
+++ b/forward/leave.go
@@ -11,47 +11,48 @@
 )
 
 const (
-	// lameTime is how long a leaving entry goes on in any case: the balancer asks once a second and believes the second miss.
-	lameTime = 2500 * time.Millisecond
-	// quietTime is how long nothing has to have come before a leaving entry ends: what comes later than lameTime says that the
-	// balancer still hands connections over.
+	// lameDuckTime is the shortest duration of a leave: the balancer polls once a second and acts on the second failed check.
+	lameDuckTime = 2500 * time.Millisecond
+	// quietPeriod is how long nothing must have arrived before a leave ends: an arrival after lameDuckTime means that the balancer
+	// still sends connections.
 	quietTime = time.Second
-	// restShare of the idle time that callers are told is how long they take up a connection again; restMargin is kept for the way.
-	restShare  = 0.8
-	restMargin = 500 * time.Millisecond
-	// graceMargin is kept from the time that a planned stop may take, closingTime before that from the connections that rest, so
-	// that answers to the last requests still leave.
-	graceMargin = 500 * time.Millisecond
-	closingTime = 200 * time.Millisecond
-	leaveTick   = 20 * time.Millisecond
-	// An answer may take leaveFactor times as long as predicted, and leaveMargin more, for its request to be begun in a leave.
+	// Callers reuse an idle connection for idleReuseShare of the announced idle timeout; idleReuseMargin covers the network
+	// delay.
+	idleReuseShare  = 0.8
+	idleReuseMargin = 500 * time.Millisecond
+	// A leave ends graceMargin before the time limit of a planned stop and closes idle connections idleCloseMargin earlier, so that
+	// the last responses are still sent.
+	graceMargin       = 500 * time.Millisecond
+	idleCloseMargin   = 200 * time.Millisecond
+	leavePollInterval = 20 * time.Millisecond
+	// During a leave a request is started if leaveFactor times its predicted duration and leaveMargin fit into the time left.
 	leaveFactor = 2
 	leaveMargin = 500 * time.Millisecond
-	// leaveRetryAfter is when a caller whose request is not begun is told to come back; its next connection leads to another entry.
+	// leaveRetryAfter is the Retry-After of a request refused during a leave; the caller's next connection leads to another entry.
 	leaveRetryAfter = 100 * time.Millisecond
 )
 
-// Leave takes the entry out of service. The balancer is told, and each answer tells its caller to go elsewhere; requests are
-// taken until no more come or the time is over, and only then the connections that callers keep are closed.
+// Leave takes the entry out of service: readiness checks fail and responses close their connections. It serves requests until no more
+// arrive or the time is up, and only then closes idle connections.
 func (e *Entry) Leave(ctx context.Context) {
 	began := clock.Now()
 	deadline := began.Add(e.cfg.Machine.Bounds.Grace - graceMargin)
-	closes := deadline.Add(-closingTime)
-	e.closes.Store(&closes)
+	closes := deadline.Add(-idleCloseMargin)
+	e.closesIdleAt.Store(&closes)
 	e.leaving.Store(true)
 	e.log.Info("entry: leaving")
-	until(ctx, closes, func(now time.Time) bool {
-		return now.Sub(began) >= lameTime && e.conns.settled(now, e.keptTime())
+	pollUntil(ctx, closes, func(now time.Time) bool {
+		return now.Sub(began) >= lameDuckTime && e.conns.settled(now, e.idleReuseTime())
 	})
-	early := e.conns.kept(clock.Now(), e.keptTime())
-	until(ctx, deadline, e.conns.closeResting)
-	e.sayLeft(began, early)
+	early := e.conns.kept(clock.Now(), e.idleReuseTime())
+	pollUntil(ctx, deadline, e.conns.closeResting)
+	e.logLeft(began, early)
 	_ = e.callers.Close()
 }
 
-// until waits until something is done, a time comes or ctx ends.
-func until(ctx context.Context, limit time.Time, done func(now time.Time) bool) {
-	ticker := time.NewTicker(leaveTick)
+// pollUntil polls done until it returns true, limit is reached or ctx ends.
+func pollUntil(ctx context.Context, limit time.Time, done func(now time.Time) bool) {
+	ticker := time.NewTicker(leavePollInterval)
 	defer ticker.Stop()
 	for now := clock.Now(); now.Before(limit) && ctx.Err() == nil && !done(now); now = clock.Now() {
 		select {
@@ -61,17 +62,17 @@
 	}
 }
 
-// keptTime returns how long a connection has to have rested for callers not to take it up again.
-func (e *Entry) keptTime() time.Duration {
-	idle := idleCallerTime
+// idleReuseTime returns how long callers may reuse an idle connection.
+func (e *Entry) idleReuseTime() time.Duration {
+	idle := callerIdleTimeout
 	if cfg := e.cfg.View.Config(); cfg != nil && cfg.Limits.IdleTime > 0 {
 		idle = cfg.Limits.IdleTime
 	}
-	return time.Duration(restShare*float64(idle)) + restMargin
+	return time.Duration(idleReuseShare*float64(idle)) + idleReuseMargin
 }
 
-// sayLeft writes what the end of the leave cuts, request by request, and how many connections were closed early.
-func (e *Entry) sayLeft(began time.Time, early int) {
+// logLeft logs each request that is cut off by the end of the leave, and the number of connections closed early.
+func (e *Entry) logLeft(began time.Time, early int) {
 	now := clock.Now()
 	cut := e.conns.inProgress()
 	for _, r := range cut {
@@ -86,23 +87,21 @@
 	line.Info("entry: left")
 }
 
-// lameUntil returns the time from which on the balancer hands no connections over any more, by that at which a leave closes those
-// that rest. What comes later comes from callers whom other entries serve as well, so only what is certain to end is begun: an
-// answer that took longer than twice what was predicted was cut.
-func (e *Entry) lameUntil(closes time.Time) time.Time {
-	return closes.Add(closingTime + graceMargin - e.cfg.Machine.Bounds.Grace + lameTime)
+// lameDuckEnd returns when the balancer has stopped sending connections, for a leave that closes idle connections at closes. Later
+// requests come from callers that other entries serve too; only those certain to end in time are started.
+func (e *Entry) lameDuckEnd(closes time.Time) time.Time {
+	return closes.Add(idleCloseMargin + graceMargin - e.cfg.Machine.Bounds.Grace + lameDuckTime)
 }
 
-// endsInTime reports whether the request is answered before a leaving entry ends: because its own time is over by then, or as
-// far as the best server's load tells. What waits before it and its length may be off by a factor, its length up to what the
-// caller lets it have.
+// finishesBeforeLeave reports whether the request ends before a leaving entry stops, by its own deadline or by the prediction for the
+// best server. Queue wait and answer length may exceed their predictions by leaveFactor, the length up to the caller's limit.
 func (c *call) endsInTime(now time.Time) bool {
-	closes := c.entry.closes.Load()
+	closes := c.entry.closesIdleAt.Load()
 	if closes == nil || !c.ends.After(*closes) {
 		return true
 	}
 	model := c.service.Engine
-	if model == nil || model.ReadRate <= 0 || now.After(c.entry.lameUntil(*closes)) {
+	if model == nil || model.ReadRate <= 0 || now.After(c.entry.lameDuckEnd(*closes)) {
 		return false
 	}
 	ch, ok := c.entry.choose(c.wanted(), now)
@@ -117,8 +116,8 @@
 	if c.ask.Answer > 0 {
 		tokens = min(tokens, c.ask.Answer)
 	}
-	takes := leaveFactor*ch.first + engine.Write(model, ch.load, tokens) + leaveMargin
-	if now.Add(takes).Before(*closes) {
+	duration := leaveFactor*ch.first + engine.Write(model, ch.load, tokens) + leaveMargin
+	if now.Add(duration).Before(*closes) {
 		return true
 	}
 	c.last = ch
--- a/forward/leavefixture_test.go
+++ b/forward/leavefixture_test.go
@@ -18,16 +18,16 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// lengthWire reads of a head also how long the answer may be.
+// lengthWire is testWire with the answer's token limit.
 type lengthWire struct{ testWire }
 
 func (w lengthWire) Ask(r *http.Request) Ask {
-	ask := w.testWire.Ask(r)
-	ask.Answer, _ = strconv.Atoi(r.Header.Get("Most"))
-	return ask
+	info := w.testWire.Ask(r)
+	info.Answer, _ = strconv.Atoi(r.Header.Get("Most"))
+	return info
 }
 
-// leavingWorld is an entry at a listener of its own that is going to leave.
+// leavingEnv is an entry that is going to leave, served at a listener of its own.
 type leavingWorld struct {
 	*world
 	lines *lines
@@ -36,8 +36,8 @@
 	stop  context.CancelFunc
 }
 
-// newLeavingWorld returns an entry before servers of a service; callers may use connections again within an idle time, and a
-// planned stop may take a grace.
+// newLeavingEnv returns an entry in front of servers of a service; idle is the callers' idle timeout, grace the time limit of a
+// planned stop.
 func newLeavingWorld(t *testing.T, service contract.Service, idle, grace time.Duration, addresses ...string) *leavingWorld {
 	t.Helper()
 	service.Name, service.MaxConns = "s", 100
@@ -54,7 +54,7 @@
 			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{engineModel: 1},
 		})
 	}
-	w := &leavingWorld{world: newWorldOf(t, source), lines: &lines{}, left: make(chan time.Time, 1)}
+	w := &leavingWorld{world: newTestEnvFrom(t, source), lines: &lines{}, left: make(chan time.Time, 1)}
 	w.entry.log = &log.Logger{Handler: w.lines, Level: log.InfoLevel}
 	w.entry.cfg.Wire = lengthWire{}
 	w.entry.cfg.Machine.Bounds.Grace = grace
@@ -66,7 +66,7 @@
 	return w
 }
 
-// serve runs one of the entry's servers at a listener of its own and returns its address.
+// serve runs one of the entry's HTTP servers and returns its address.
 func (w *leavingWorld) serve(server *http.Server) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,8 +76,8 @@
 	return listener.Addr().String()
 }
 
-// leave has the entry leave.
-func (w *leavingWorld) leave() {
+// startLeave starts the leave and waits until it has begun.
+func (w *leavingWorld) startLeave() {
 	ctx, cancel := context.WithCancel(w.t.Context())
 	w.stop = cancel
 	w.t.Cleanup(cancel)
@@ -90,35 +90,35 @@
 	}
 }
 
-// ended waits until the entry has left and says when that was.
-func (w *leavingWorld) ended() time.Time {
+// awaitLeft waits until the entry has left and returns when that was.
+func (w *leavingWorld) awaitLeft() time.Time {
 	w.t.Helper()
 	select {
 	case at := <-w.left:
 		return at
 	case <-time.After(6 * time.Second):
-		w.t.Fatal("the entry does not end")
+		w.t.Fatal("entry does not stop")
 		return time.Time{}
 	}
 }
 
-// line returns the latest line of the entry's log with a message; nil when there is none.
+// line returns the latest log line with a message; nil if there is none.
 func (w *leavingWorld) line(message string) *log.Entry { return w.lines.of(message) }
 
-// lines keeps the latest line of a log for each message.
+// logRecorder keeps the latest log line for each message.
 type lines struct {
 	mu     sync.Mutex
 	latest map[string]*log.Entry
 }
 
-// of returns the latest line with a message; nil when there is none.
+// of returns the latest line with a message; nil if there is none.
 func (l *lines) of(message string) *log.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.latest[message]
 }
 
-// HandleLog takes one line.
+// HandleLog implements log.Handler.
 func (l *lines) HandleLog(line *log.Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,23 +129,22 @@
 	return nil
 }
 
-// caller is a connection that a caller keeps; nothing is ever sent twice on it.
-type caller struct {
+// clientConn is a keep-alive connection of a caller, on which nothing is resent.
+type clientConn struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func (w *leavingWorld) connect() (*caller, error) {
+func (w *leavingWorld) connect() (*clientConn, error) {
 	conn, err := net.DialTimeout("tcp", w.url, time.Second)
 	if err != nil {
 		return nil, err
 	}
 	w.t.Cleanup(func() { _ = conn.Close() })
-	return &caller{conn: conn, reader: bufio.NewReader(conn)}, nil
+	return &clientConn{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// mustConnect returns a connection that has to come up.
-func (w *leavingWorld) mustConnect() *caller {
+func (w *leavingWorld) mustConnect() *clientConn {
 	w.t.Helper()
 	c, err := w.connect()
 	if err != nil {
@@ -154,20 +153,20 @@
 	return c
 }
 
-// ask sends a request on the connection and reads its answer.
-func (c *caller) ask(path, header string) result {
+// ask sends a request on the connection and reads the response.
+func (c *clientConn) ask(path, header string) result {
 	if err := c.send(path, header); err != nil {
 		return result{err: err}
 	}
 	return c.read()
 }
 
-func (c *caller) send(path, header string) error {
+func (c *clientConn) send(path, header string) error {
 	_, err := fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: h\r\nId: r1\r\n%s\r\n", path, header)
 	return err
 }
 
-func (c *caller) read() result {
+func (c *clientConn) read() result {
 	_ = c.conn.SetReadDeadline(time.Now().Add(6 * time.Second))
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
@@ -178,19 +177,19 @@
 	return result{status: resp.StatusCode, header: resp.Header, body: string(got), closes: resp.Close, err: err}
 }
 
-// wantLastAnswer proves that a caller got a whole answer and was told that its connection closes.
-func wantLastAnswer(t *testing.T, got result) {
+// checkLastResponse checks for a complete response that closes its connection.
+func checkLastResponse(t *testing.T, got result) {
 	t.Helper()
 	if got.err != nil || got.status != http.StatusOK || got.body != "hello" {
-		t.Errorf("status %d, body %q, %v; want a whole answer", got.status, got.body, got.err)
+		t.Errorf("status %d, body %q, %v; want a complete answer", got.status, got.body, got.err)
 	}
 	if got.err == nil && !got.closes {
-		t.Error("the caller is not told that the connection closes")
+		t.Error("response does not close the connection")
 	}
 }
 
-// after answers in a way once some time has passed.
-func after(pause time.Duration, answer answering) answering {
+// delayed calls a responder after a pause.
+func delayed(pause time.Duration, answer answering) answering {
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(pause)
 		return answer(conn, n, r)
--- a/forward/life.go
+++ b/forward/life.go
@@ -6,44 +6,43 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// A server may start again under its id, holding nothing of before. Each life is an upstream of its own, so that nothing that was
-// believed of the older one is believed of the newer: what it runs, what is in progress there, how late it is, its failures.
-// Messages of an older life that arrive late change nothing.
+// A server may restart under its ID and lose all state. Each incarnation has an upstream of its own, so that loaded
+// versions, requests in flight, lag and failures are not carried over. Late messages of an older incarnation are
+// ignored.
 
-// life is how a birth that is told of a server relates to the life that an upstream stands for.
-type life int
+// incarnationOrder relates a reported start time to the incarnation of an upstream.
+type incarnationOrder int
 
 const (
-	lifeSame life = iota
-	// lifeNew is a later one, lifeEnded an earlier one.
-	lifeNew
-	lifeEnded
+	sameIncarnation incarnationOrder = iota
+	newerIncarnation
+	olderIncarnation
 )
 
-// lifeOf tells of which life a server's box speaks. Births that a box tells are ordered by themselves: of two that differ the
-// earlier one is a message that was delayed. A server whose clock stepped back is believed once the list tells its birth.
-func (u *upstream) lifeOf(born int64) life {
+// compareIncarnation compares the start time reported by the server's box. An earlier one belongs to a delayed message;
+// if the server's clock stepped back, it is accepted once the list shows it.
+func (u *upstream) compareIncarnation(born int64) incarnationOrder {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
 	case !contract.IsAnotherLife(born, u.born):
-		return lifeSame
+		return sameIncarnation
 	case born > u.born:
-		return lifeNew
+		return newerIncarnation
 	default:
-		return lifeEnded
+		return olderIncarnation
 	}
 }
 
-// hasEnded reports whether the list tells of another life than the one that this stands for. The list is ordered by the store,
-// so that any change of the birth there is a new life, unless the server's box has told of it before.
-func (u *upstream) hasEnded(listed int64) bool {
+// isReplacedBy reports whether the list shows a new incarnation. The store orders the list, so any other start time is a
+// new incarnation unless the server's box has reported it before.
+func (u *upstream) isReplacedBy(listed int64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return contract.IsAnotherLife(listed, u.listedBorn) && contract.IsAnotherLife(listed, u.born)
 }
 
-// successor returns the life of the server that began after this one.
+// successor returns the upstream of the server's next incarnation.
 func (u *upstream) successor(born int64) *upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -52,14 +51,14 @@
 	return next
 }
 
-// abandon ends the requests that are in progress at a life that has ended, as far as they are certain to be there: on connections
-// opened before this life was last heard of. What was sent later may be at the new life.
-func (u *upstream) abandon() {
+// abortInFlight aborts the requests that were certainly sent to the ended incarnation: those on connections opened
+// before its latest report. Later connections may lead to the new incarnation.
+func (u *upstream) abortInFlight() {
 	u.mu.Lock()
 	var ends []func(error)
 	for t := range u.tickets {
-		if t.abandon != nil && !t.connected.IsZero() && t.connected.Before(u.reportAt) {
-			ends = append(ends, t.abandon)
+		if t.abort != nil && !t.connected.IsZero() && t.connected.Before(u.reportAt) {
+			ends = append(ends, t.abort)
 		}
 	}
 	id := u.server.ID
@@ -69,16 +68,16 @@
 	}
 }
 
-// connectedAt notes when the connection was opened on which the request leaves.
+// setConnectedAt records when the connection of the request was opened.
 func (t *ticket) connectedAt(opened time.Time) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
 	t.connected = opened
 }
 
-// whenRestarted has a request end when its server starts again.
+// onServerRestart sets the function that aborts the request when its server restarts.
 func (t *ticket) whenRestarted(abandon func(cause error)) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
-	t.abandon = abandon
+	t.abort = abandon
 }
--- a/forward/listteller.go
+++ b/forward/listteller.go
@@ -8,94 +8,94 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// listTeller finds out what the entries that follow this one are to be told of the list of servers, and encodes it: once for all of
-// them, since with thousands of servers each comparison takes milliseconds. The zero listTeller has told nothing.
-type listTeller struct {
+// listPublisher computes and encodes list changes for all entries that follow this one. It does so once for all of them, since
+// comparing thousands of servers takes milliseconds. The zero value has published nothing.
+type listPublisher struct {
 	listed map[string]contract.Server
-	// version counts the changes of the list.
+	// version is the number of published changes.
 	version int
-	// news is what the newest version tells that the one before did not, whole is all of it; nil until it is asked for.
-	news  link.Encoded
-	whole link.Encoded
+	// delta is the encoded difference between the newest version and the one before, snapshot the full list, encoded on demand.
+	delta    link.Encoded
+	snapshot link.Encoded
 }
 
-// listFollower is an entry that is told the list of servers: which version it has, 0 for none, and when it was told last; ends are the
-// records of ends of servers that it has, nil before the first time.
+// listFollower is what an entry has received: the version of the list, 0 for none, when it was sent, and the quarantine records, nil
+// before the first message.
 type listFollower struct {
-	version int
-	told    time.Time
-	ends    map[string]int
+	version  int
+	sentAt   time.Time
+	sentEnds map[string]int
 }
 
-// listBeatMessage says that the teller lives and that nothing has changed.
-var listBeatMessage = encoded(&link.Servers{})
+// listHeartbeatMessage is an update without changes.
+var listHeartbeatMessage = encodeMessage(&link.Servers{})
 
-// advance takes the list as it is now.
-func (lt *listTeller) advance(servers []view.Listed) {
-	if lt.listed == nil {
-		lt.listed = make(map[string]contract.Server, len(servers))
+// update publishes the list if it has changed.
+func (lp *listPublisher) update(servers []view.Listed) {
+	if lp.listed == nil {
+		lp.listed = make(map[string]contract.Server, len(servers))
 	}
-	var news link.Servers
-	there := 0
+	var changes link.Servers
+	present := 0
 	for _, server := range servers {
 		if !server.Missing.IsZero() {
 			continue
 		}
-		there++
-		if known, ok := lt.listed[server.ID]; !ok || !known.Equal(server.Server) {
-			news.Present = append(news.Present, server.Server)
-			lt.listed[server.ID] = server.Server
+		present++
+		if known, ok := lp.listed[server.ID]; !ok || !known.Equal(server.Server) {
+			changes.Present = append(changes.Present, server.Server)
+			lp.listed[server.ID] = server.Server
 		}
 	}
-	if there < len(lt.listed) {
-		news.Gone = lt.dropAllBut(servers)
+	if present < len(lp.listed) {
+		changes.Gone = lp.removeUnlisted(servers)
 	}
-	if lt.version > 0 && len(news.Present)+len(news.Gone) == 0 {
+	if lp.version > 0 && len(changes.Present)+len(changes.Gone) == 0 {
 		return
 	}
-	lt.version++
-	lt.news, lt.whole = encoded(&news), nil
+	lp.version++
+	lp.delta, lp.snapshot = encodeMessage(&changes), nil
 }
 
-// dropAllBut forgets the servers that are no longer listed, and returns their ids.
-func (lt *listTeller) dropAllBut(servers []view.Listed) (gone []string) {
-	listed := present(servers)
-	for id := range lt.listed {
+// removeUnlisted removes the servers that are no longer listed and returns their IDs.
+func (lp *listPublisher) removeUnlisted(servers []view.Listed) (gone []string) {
+	listed := listedByID(servers)
+	for id := range lp.listed {
 		if _, stays := listed[id]; !stays {
 			gone = append(gone, id)
-			delete(lt.listed, id)
+			delete(lp.listed, id)
 		}
 	}
 	return gone
 }
 
-// next returns what a follower is to be told now, nil when there is nothing, and notes that it is.
-func (lt *listTeller) next(f *listFollower, now time.Time) link.Encoded {
-	behind := lt.version - f.version
+// next returns the message that is due for a follower, nil if there is none, and records it as sent.
+func (lp *listPublisher) next(f *listFollower, now time.Time) link.Encoded {
+	behind := lp.version - f.version
 	switch {
-	case behind == 0 && now.Sub(f.told) < listBeat:
+	case behind == 0 && now.Sub(f.sentAt) < listHeartbeat:
 		return nil
 	case behind == 0:
-		f.told = now
-		return listBeatMessage
+		f.sentAt = now
+		return listHeartbeatMessage
 	}
 	first := f.version == 0
-	f.version, f.told = lt.version, now
+	f.version, f.sentAt = lp.version, now
 	if behind == 1 && !first {
-		return lt.news
+		return lp.delta
 	}
-	if lt.whole == nil {
-		all := make([]contract.Server, 0, len(lt.listed))
-		for _, server := range lt.listed {
+	if lp.snapshot == nil {
+		all := make([]contract.Server, 0, len(lp.listed))
+		for _, server := range lp.listed {
 			all = append(all, server)
 		}
-		lt.whole = encoded(&link.Servers{Reset: true, Present: all})
+		lp.snapshot = encodeMessage(&link.Servers{Reset: true, Present: all})
 	}
-	return lt.whole
+	return lp.snapshot
 }
 
-// encoded returns a message as it is sent, nil when it cannot be: followers that hear nothing read the list themselves.
-func encoded(msg link.Message) link.Encoded {
+// encodeMessage returns the encoded message, nil if it cannot be encoded: followers that receive nothing read the list themselves.
+func encodeMessage(msg link.Message) link.Encoded {
 	data, err := link.Prepare(msg)
 	if err != nil {
 		return nil
--- a/forward/listteller_test.go
+++ b/forward/listteller_test.go
@@ -14,11 +14,12 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// TestFollowersOfTheListHaveItWhole plays random changes to followers that come at any time: each has the whole list after each message.
+// TestFollowersOfTheListHaveItWhole applies random changes with followers joining at any time, and checks that each follower has the
+// full list after each message.
 func TestFollowersOfTheListHaveItWhole(t *testing.T) {
-	turns := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
-	var lt listTeller
+	var lp listPublisher
 	list := make(map[string]view.Listed)
 	type listener struct {
 		listFollower
@@ -26,28 +27,28 @@
 	}
 	var listeners []*listener
 	for round := range 300 {
-		for range turns.IntN(3) {
-			id := fmt.Sprint(turns.IntN(12))
-			switch turns.IntN(4) {
+		for range rng.IntN(3) {
+			id := fmt.Sprint(rng.IntN(12))
+			switch rng.IntN(4) {
 			case 0:
 				delete(list, id)
 			case 1:
 				list[id] = view.Listed{Server: contract.Server{ID: id}, Missing: now}
 			default:
-				list[id] = view.Listed{Server: contract.Server{ID: id, Slots: turns.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(turns.IntN(2))}}}
+				list[id] = view.Listed{Server: contract.Server{ID: id, Slots: rng.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(rng.IntN(2))}}}
 			}
 		}
-		if turns.IntN(20) == 0 {
+		if rng.IntN(20) == 0 {
 			listeners = append(listeners, &listener{source: told.New(nil)})
 		}
 		var servers []view.Listed
 		for _, server := range list {
 			servers = append(servers, server)
 		}
-		lt.advance(servers)
-		now = now.Add(time.Duration(turns.IntN(500)) * time.Millisecond)
+		lp.update(servers)
+		now = now.Add(time.Duration(rng.IntN(500)) * time.Millisecond)
 		for i, l := range listeners {
-			if data := lt.next(&l.listFollower, now); data != nil {
+			if data := lp.next(&l.listFollower, now); data != nil {
 				msg, err := link.Decode(data)
 				if err != nil {
 					t.Fatal(err)
@@ -58,29 +59,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want := present(servers)
-			if !slices.EqualFunc(sorted(whole.Present), sorted(valuesOf(want)), contract.Server.Equal) {
+			want := listedByID(servers)
+			if !slices.EqualFunc(sortedByID(whole.Present), sortedByID(valuesOf(want)), contract.Server.Equal) {
 				t.Fatalf("round %d: follower %d has %v, want %v", round, i, whole.Present, want)
 			}
 		}
 	}
 }
 
-// TestFollowersHearThatNothingHasChanged proves that a quiet list is told of now and then.
-func TestFollowersHearThatNothingHasChanged(t *testing.T) {
+// TestListFollowersGetHeartbeats checks that followers get heartbeats while the list does not change.
+func TestListFollowersGetHeartbeats(t *testing.T) {
 	now := time.Now()
-	var lt listTeller
+	var lp listPublisher
 	f := &listFollower{}
-	lt.advance(nil)
-	if lt.next(f, now) == nil {
-		t.Fatal("a new follower is told nothing")
+	lp.update(nil)
+	if lp.next(f, now) == nil {
+		t.Fatal("new follower got no message")
 	}
-	lt.advance(nil)
-	if lt.next(f, now.Add(listBeat/2)) != nil {
-		t.Error("a follower is told that nothing has changed at once")
+	lp.update(nil)
+	if lp.next(f, now.Add(listHeartbeat/2)) != nil {
+		t.Error("follower got a heartbeat too early")
 	}
-	if lt.next(f, now.Add(listBeat)) == nil {
-		t.Error("a follower is not told in time that nothing has changed")
+	if lp.next(f, now.Add(listHeartbeat)) == nil {
+		t.Error("follower got no heartbeat in time")
 	}
 }
 
@@ -91,7 +92,7 @@
 	return all
 }
 
-func sorted(servers []contract.Server) []contract.Server {
+func sortedByID(servers []contract.Server) []contract.Server {
 	slices.SortFunc(servers, func(a, b contract.Server) int { return strings.Compare(a.ID, b.ID) })
 	return servers
 }
--- a/forward/metrics.go
+++ b/forward/metrics.go
@@ -17,7 +17,7 @@
 	metrics.GetOrCreateCounter(`coralstair_direct_requests_total{route="` + route + `",outcome="` + outcome + `"}`).Inc()
 }
 
-// handovers counts the servers that were asked beside another: those that took the request over, and those that left it there.
+// handovers counts attempts started beside another one, by whether they took the request over.
 func handovers(result string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(`coralstair_handovers_total{result="` + result + `"}`)
 }
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -19,58 +19,56 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// In a large fleet one entry of each site, its reader, follows the list of servers at the store and tells the others of its site.
-// Each entry makes two or more calls a second while servers load, come and go, and calls are priced: 53 entries made 6,976 in 70 s,
-// 0.067 of what was earned. What operators declare each entry reads itself: it must be in force everywhere within seconds, and
-// few calls find a change.
+// In a large fleet one entry of each site, the reader, polls the store for the server list and relays it to the others, which bounds
+// the number of store calls. Each entry reads the configuration itself, since it must be in force within seconds.
 
 const (
-	// readerEntries is from how many entries on a site has a reader: below, the calls cost less than 0.02 of what is earned.
-	readerEntries = 24
-	// listBeat is how often entries hear of the list at least, listSilence how long they may hear nothing until they read it
-	// themselves, listAge how old what the reader was told by the store may be for it to tell others; it follows from listWait.
-	listBeat    = 400 * time.Millisecond
-	listSilence = 1200 * time.Millisecond
-	// readerRest is how long a reader that failed is not followed.
-	readerRest = 3 * time.Second
-	// listWaitShare is the part of the drain bound, one in so many, that a reader's call may wait: a call that is never answered is
-	// noticed and the others read for themselves well before a server that left may get nothing more.
-	listWaitShare = 4
-	leastListWait = 500 * time.Millisecond
-	mostListWait  = 1500 * time.Millisecond
-	// answerSlack is how much longer than it waits a call usually takes at most.
-	answerSlack = time.Second
-	// readerCheck is how often it is looked at who reads, startCheck the same while only some servers are known.
-	readerCheck = time.Second
-	startCheck  = 200 * time.Millisecond
-	// startSettle is how long after its start an entry knows who else has started: all do within some tenths of a second.
-	startSettle = 800 * time.Millisecond
+	// minEntriesForReader is the number of entries from which a site has a reader.
+	minEntriesForReader = 24
+	// Entries relay the list at least every listHeartbeat; a follower that receives nothing for listTimeout reads it itself.
+	listHeartbeat = 400 * time.Millisecond
+	listTimeout   = 1200 * time.Millisecond
+	// readerBackoff is how long a failed reader is not followed.
+	readerBackoff = 3 * time.Second
+	// A reader polls for one listWaitDivisor-th of the drain timeout, so that followers detect a hung poll and read the list
+	// themselves well before a leaving server must receive no more requests.
+	listWaitDivisor = 4
+	minListWait     = 500 * time.Millisecond
+	maxListWait     = 1500 * time.Millisecond
+	// listCallSlack is how much longer than its poll timeout a call usually takes at most.
+	listCallSlack = time.Second
+	// readerCheckInterval is how often the reader is determined, startupCheckInterval the same until the full list is known.
+	readerCheckInterval  = time.Second
+	startupCheckInterval = 200 * time.Millisecond
+	// startupSettleTime is how long after its start an entry knows the others that started with it.
+	startupSettleTime = 800 * time.Millisecond
 )
 
-// ListWait returns how long an entry's calls for the list of servers may wait, by how long a server that leaves may get requests.
+// ListWait returns the poll timeout of an entry's calls for the server list, given how long a leaving server may receive requests.
 func ListWait(drain time.Duration) time.Duration {
-	return min(max(drain/listWaitShare, leastListWait), mostListWait)
+	return min(max(drain/listWaitDivisor, minListWait), maxListWait)
 }
 
-// listReader has an entry hear the list of servers from its site's reader, and tell it while it is the reader itself.
+// listReader receives the server list from the site's reader, or reads it from the store while this entry is the reader.
 type listReader struct {
 	entry  *Entry
 	server *http.Server
 
 	mu sync.Mutex
-	// hosts are the entries of the site that each box hears, by the box's address; resting are readers that failed, and until when.
-	hosts   map[string][]string
-	resting map[string]time.Time
+	// hosts holds the entries of the site known to each box, by box address; failedUntil holds the failed readers and when they may be
+	// followed again.
+	hosts       map[string][]string
+	failedUntil map[string]time.Time
 }
 
 func newListReader(e *Entry) *listReader {
-	lr := &listReader{entry: e, hosts: make(map[string][]string), resting: make(map[string]time.Time)}
-	lr.server = &http.Server{Handler: http.HandlerFunc(lr.accept), ReadHeaderTimeout: headerTime}
+	lr := &listReader{entry: e, hosts: make(map[string][]string), failedUntil: make(map[string]time.Time)}
+	lr.server = &http.Server{Handler: http.HandlerFunc(lr.accept), ReadHeaderTimeout: headerTimeout}
 	return lr
 }
 
-// heard takes which entries of the site a box hears; none when its link has ended.
-func (lr *listReader) heard(box string, hosts []string) {
+// setHosts sets the entries of the site that a box knows; none once its link has ended.
+func (lr *listReader) setHosts(box string, hosts []string) {
 	lr.mu.Lock()
 	defer lr.mu.Unlock()
 	if len(hosts) == 0 {
@@ -80,10 +78,10 @@
 	lr.hosts[box] = hosts
 }
 
-// reader returns the host of the entry that reads for the site, empty when this one is to read for itself.
-func (lr *listReader) reader(now time.Time) string {
+// currentReader returns the host of the site's reader, empty if this entry reads the list itself.
+func (lr *listReader) currentReader(now time.Time) string {
 	self := lr.entry.cfg.Machine.Address
-	if lr.entry.budget.Entries() < readerEntries || lr.entry.leaving.Load() {
+	if lr.entry.budget.Entries() < minEntriesForReader || lr.entry.leaving.Load() {
 		return ""
 	}
 	lr.mu.Lock()
@@ -91,7 +89,7 @@
 	first := self
 	for _, hosts := range lr.hosts {
 		for _, host := range hosts {
-			if readsBefore(host, first) && !now.Before(lr.resting[host]) {
+			if ranksBefore(host, first) && !now.Before(lr.failedUntil[host]) {
 				first = host
 			}
 		}
@@ -102,8 +100,8 @@
 	return first
 }
 
-// siblings returns the hosts of the other entries of the site, as far as boxes tell.
-func (lr *listReader) siblings() []string {
+// peerHosts returns the hosts of the other entries of the site that are known to boxes.
+func (lr *listReader) peerHosts() []string {
 	lr.mu.Lock()
 	defer lr.mu.Unlock()
 	var all []string
@@ -117,22 +115,22 @@
 	return all
 }
 
-// readsBefore orders the entries of a site.
-func readsBefore(a, b string) bool {
+// ranksBefore orders the entries of a site; the first one is the reader.
+func ranksBefore(a, b string) bool {
 	scoreA, scoreB := xxhash.Sum64String(a), xxhash.Sum64String(b)
 	return scoreA < scoreB || scoreA == scoreB && a < b
 }
 
-// serve follows the site's reader until ctx ends.
+// serve follows the site's reader until ctx ends, and reads the list itself while there is none.
 func (lr *listReader) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		lr.entry.cfg.Told.Share(lr.entry.budget.Entries() >= readerEntries)
-		host := lr.reader(clock.Now())
+		lr.entry.cfg.Told.Share(lr.entry.budget.Entries() >= minEntriesForReader)
+		host := lr.currentReader(clock.Now())
 		if host == "" {
-			lr.readWhole()
+			lr.readFullList()
 			select {
 			case <-ctx.Done():
-			case <-time.After(lr.untilCheck()):
+			case <-time.After(lr.checkInterval()):
 			}
 			continue
 		}
@@ -140,7 +138,7 @@
 		failed := lr.follow(ctx, host)
 		if failed {
 			lr.mu.Lock()
-			lr.resting[host] = clock.Now().Add(readerRest)
+			lr.failedUntil[host] = clock.Now().Add(readerBackoff)
 			lr.mu.Unlock()
 		}
 		lr.entry.cfg.Told.Silent()
@@ -149,27 +147,28 @@
 	return ctx.Err()
 }
 
-// readWhole has the whole list read by this entry where no other reads it for the site. It is looked at once boxes have had the time to
-// hear of all entries that start together: before, each would take itself for the first.
-func (lr *listReader) readWhole() {
-	if lr.entry.budget.Entries() >= readerEntries && clock.Since(lr.entry.began) >= startSettle {
+// readFullList has the full list read if no other entry reads it for the site. Before startupSettleTime, boxes may not know all entries
+// that start together, and each entry would take itself for the reader.
+func (lr *listReader) readFullList() {
+	if lr.entry.budget.Entries() >= minEntriesForReader && clock.Since(lr.entry.began) >= startupSettleTime {
 		lr.entry.cfg.Told.ReadWhole()
 	}
 }
 
-// untilCheck returns how soon it is looked again at who reads: until the whole list is known, soon.
-func (lr *listReader) untilCheck() time.Duration {
+// checkInterval returns the time until the reader is determined again.
+func (lr *listReader) checkInterval() time.Duration {
 	if lr.entry.cfg.Told.Starting() {
-		return startCheck
+		return startupCheckInterval
 	}
-	return readerCheck
+	return readerCheckInterval
 }
 
-// follow takes the list from a reader until another one is to be followed, or it fails, falls silent or does not read itself.
+// follow receives the list from a reader until another entry becomes the reader, or this one fails, times out or does not read the
+// store itself.
 func (lr *listReader) follow(ctx context.Context, host string) (failed bool) {
-	dialCtx, cancel := context.WithTimeout(ctx, reportDialTime)
+	dialCtx, cancel := context.WithTimeout(ctx, linkDialTimeout)
 	defer cancel()
-	conn, err := link.Dial(dialCtx, lr.entry.reports.client, lr.entry.cfg.Machine.LinkAt(host), nil)
+	conn, err := link.Dial(dialCtx, lr.entry.boxLinks.client, lr.entry.cfg.Machine.LinkAt(host), nil)
 	if err != nil {
 		return true
 	}
@@ -177,17 +176,17 @@
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
 	hello := &link.Hello{ID: lr.entry.cfg.Machine.ID, Role: link.RoleEntry, Site: lr.entry.cfg.Machine.Site}
-	if conn.SendWithin(tellTime, hello) != nil || conn.SendWithin(tellTime, &link.Follow{List: true}) != nil {
+	if conn.SendWithin(sendTimeout, hello) != nil || conn.SendWithin(sendTimeout, &link.Follow{List: true}) != nil {
 		return true
 	}
-	silence := time.AfterFunc(listSilence, conn.Close)
-	defer silence.Stop()
+	timeout := time.AfterFunc(listTimeout, conn.Close)
+	defer timeout.Stop()
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
 			return true
 		}
-		silence.Reset(listSilence)
+		timeout.Reset(listTimeout)
 		switch msg := msg.(type) {
 		case *link.Servers:
 			lr.entry.cfg.Told.TakeServers(msg)
@@ -196,26 +195,26 @@
 		case *link.Declared:
 			return true
 		}
-		if lr.reader(clock.Now()) != host {
+		if lr.currentReader(clock.Now()) != host {
 			return false
 		}
 	}
 }
 
-// serveLinks takes links of other entries until ctx ends.
+// serveLinks serves links of other entries until ctx ends.
 func (lr *listReader) serveLinks(ctx context.Context) error {
 	return supervise.ServeHTTP(ctx, lr.server, lr.entry.cfg.Links)
 }
 
-// accept takes a link of an entry that follows this one.
+// accept serves one link of another entry.
 func (lr *listReader) accept(w http.ResponseWriter, r *http.Request) {
 	conn, err := link.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
-	rs := lr.entry.reports
-	defer rs.unfollow(conn)
+	bl := lr.entry.boxLinks
+	defer bl.removeListFollower(conn)
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
@@ -224,77 +223,77 @@
 		switch msg := msg.(type) {
 		case *link.Follow:
 			if msg.List {
-				rs.followList(conn)
+				bl.addListFollower(conn)
 			}
 		case *link.Refused:
-			lr.entry.siblings.take(msg)
+			lr.entry.peers.apply(msg)
 		}
 	}
 }
 
-// followList takes an entry's ask to be told the list of servers.
-func (rs *reports) followList(conn *link.Conn) {
-	rs.mu.Lock()
-	rs.listFollowers[conn] = &listFollower{}
-	rs.mu.Unlock()
-	rs.wake()
+func (bl *boxLinks) addListFollower(conn *link.Conn) {
+	bl.mu.Lock()
+	bl.listFollowers[conn] = &listFollower{}
+	bl.mu.Unlock()
+	bl.wake()
 }
 
-func (rs *reports) unfollow(conn *link.Conn) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	delete(rs.listFollowers, conn)
+func (bl *boxLinks) removeListFollower(conn *link.Conn) {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	delete(bl.listFollowers, conn)
 }
 
-// tellListFollowers tells the list of servers to the entries that follow this one, changes as they come and a sign of life now and
-// then. It tells only what it has from the store itself and of late: entries that told each other would all believe an old list.
-func (rs *reports) tellListFollowers() {
-	v, source := rs.entry.cfg.View, rs.entry.cfg.Told
+// publishList sends changes of the server list and heartbeats to the entries that follow this one. It sends only a recent list read
+// from the store itself: entries that relayed each other's lists would all keep an outdated one.
+func (bl *boxLinks) publishList() {
+	v, source := bl.entry.cfg.View, bl.entry.cfg.Told
 	if source != nil && source.Starting() {
-		// The whole is on its way: told some servers, the others would take them for all; told that there are none, they would leave.
+		// The full list is not known yet: followers would take a partial list for the full one, and would stop following this entry if
+		// told that the store is lost.
 		return
 	}
-	reads := v.Ready() && v.InTouch() && (source == nil || !source.Tells()) && v.ListAge() < ListWait(rs.entry.cfg.Machine.Bounds.Drain)+answerSlack
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if reads && len(rs.listFollowers) > 0 {
-		rs.list.advance(v.Servers())
+	reads := v.Ready() && v.InTouch() && (source == nil || !source.Tells()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	if reads && len(bl.listFollowers) > 0 {
+		bl.list.update(v.Servers())
 	}
-	for conn, f := range rs.listFollowers {
+	for conn, f := range bl.listFollowers {
 		if !reads {
-			tellNow(conn, &link.Declared{Away: true})
-			delete(rs.listFollowers, conn)
-		} else if !rs.tellListFollower(conn, f, clock.Now()) {
-			delete(rs.listFollowers, conn)
+			trySend(conn, &link.Declared{Away: true})
+			delete(bl.listFollowers, conn)
+		} else if !bl.publishListTo(conn, f, clock.Now()) {
+			delete(bl.listFollowers, conn)
 			conn.Close()
 		}
 	}
 }
 
-// tellListFollower tells an entry what it has not been told; it reports whether there was room for it. mu is held.
-func (rs *reports) tellListFollower(conn *link.Conn, f *listFollower, now time.Time) bool {
-	if ends := f.endNews(rs.entry.cfg.Quarantine); ends != nil && !tellNow(conn, ends) {
+// publishListTo sends an entry the updates it lacks, and reports whether the link had room; mu is held.
+func (bl *boxLinks) publishListTo(conn *link.Conn, f *listFollower, now time.Time) bool {
+	if ends := f.endsUpdate(bl.entry.cfg.Quarantine); ends != nil && !trySend(conn, ends) {
 		return false
 	}
-	news := rs.list.next(f, now)
-	return news == nil || conn.SendEncodedWithin(tellTime, news) == nil
+	update := bl.list.next(f, now)
+	return update == nil || conn.SendEncodedWithin(sendTimeout, update) == nil
 }
 
-// endNews returns what an entry has not been told of ends of servers; nil when there is nothing to tell.
-func (f *listFollower) endNews(q *quarantine.Quarantine) link.Message {
-	msg := &link.Ends{Reset: f.ends == nil}
+// endsUpdate returns the quarantine records not yet sent to the entry; nil if there are none.
+func (f *listFollower) endsUpdate(q *quarantine.Quarantine) link.Message {
+	msg := &link.Ends{Reset: f.sentEnds == nil}
 	if msg.Reset {
-		f.ends = make(map[string]int)
+		f.sentEnds = make(map[string]int)
 	}
-	msg.Records = q.Changes(f.ends)
+	msg.Records = q.Changes(f.sentEnds)
 	if !msg.Reset && msg.Records.Size() == 0 {
 		return nil
 	}
 	return msg
 }
 
-// present returns the servers that are listed now, by id.
-func present(servers []view.Listed) map[string]contract.Server {
+// listedByID returns the servers that are listed now, by ID.
+func listedByID(servers []view.Listed) map[string]contract.Server {
 	listed := make(map[string]contract.Server, len(servers))
 	for _, server := range servers {
 		if server.Missing.IsZero() {
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -18,35 +18,35 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// countedStore is a store with a list of servers that may change, fall silent or refuse; it counts the calls for it.
-type countedStore struct {
+// countingStore is a store whose server list may change or whose calls may hang; it counts the list calls.
+type countingStore struct {
 	fixedSource
-	list   atomic.Pointer[view.Servers]
-	calls  atomic.Int64
-	silent atomic.Bool
+	list  atomic.Pointer[view.Servers]
+	calls atomic.Int64
+	hangs atomic.Bool
 }
 
-func (s *countedStore) Servers(ctx context.Context) (view.Servers, error) {
+func (s *countingStore) Servers(ctx context.Context) (view.Servers, error) {
 	s.calls.Add(1)
-	if s.silent.Load() {
+	if s.hangs.Load() {
 		<-ctx.Done()
 		return view.Servers{}, ctx.Err()
 	}
 	return *s.list.Load(), nil
 }
 
-func (s *countedStore) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+func (s *countingStore) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
 	s.calls.Add(1)
 	over := time.After(wait)
 	for {
-		if now := s.list.Load(); now.Cursor != cursor && !s.silent.Load() {
+		if now := s.list.Load(); now.Cursor != cursor && !s.hangs.Load() {
 			return *now, nil
 		}
 		select {
 		case <-ctx.Done():
 			return view.Servers{}, ctx.Err()
 		case <-over:
-			if !s.silent.Load() {
+			if !s.hangs.Load() {
 				return view.Servers{Cursor: cursor}, nil
 			}
 		case <-time.After(5 * time.Millisecond):
@@ -54,8 +54,8 @@
 	}
 }
 
-// have makes servers the list.
-func (s *countedStore) have(ids ...string) {
+// setServers sets the list of servers.
+func (s *countingStore) setServers(ids ...string) {
 	list := &view.Servers{Cursor: view.Cursor{Place: int64(len(ids))}}
 	for _, id := range ids {
 		list.Present = append(list.Present, contract.Server{ID: id, Service: "s", Address: "h:" + id, Slots: 1})
@@ -63,15 +63,15 @@
 	s.list.Store(list)
 }
 
-// readers are entries of one site, each with a way of its own to the store.
-type readers struct {
+// siteEnv is a site of entries, each with its own connection to the store.
+type siteEnv struct {
 	t       *testing.T
 	entries []*Entry
-	stores  []*countedStore
+	stores  []*countingStore
 	stops   []context.CancelFunc
 }
 
-func newReaders(t *testing.T, n int) *readers {
+func newSiteEnv(t *testing.T, n int) *siteEnv {
 	t.Helper()
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,76 +79,76 @@
 	}
 	t.Cleanup(func() { _ = probe.Close() })
 	port := probe.Addr().(*net.TCPAddr).Port
-	rs := &readers{t: t}
+	env := &siteEnv{t: t}
 	var hosts []string
 	for i := range n {
 		hosts = append(hosts, fmt.Sprintf("127.0.8.%d", i+1))
 	}
 	for i := range n {
-		rs.start(hosts[i], port)
+		env.startEntry(hosts[i], port)
 	}
-	for _, e := range rs.entries {
-		e.budget.SetEntries(readerEntries)
-		e.reader.heard("box", hosts)
+	for _, e := range env.entries {
+		e.budget.SetEntries(minEntriesForReader)
+		e.reader.setHosts("box", hosts)
 	}
-	return rs
+	return env
 }
 
-func (rs *readers) start(host string, port int) {
+func (env *siteEnv) startEntry(host string, port int) {
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
 	cfg := contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{{Name: "s"}}, nil)
-	store := &countedStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
-	store.have("1", "2")
+	store := &countingStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
+	store.setServers("1", "2")
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
 	source := told.NewForEntry(view.Reissue(store), ListWait(m.Bounds.Drain))
 	v := view.New(source, view.Options{Log: logger})
 	links, err := net.Listen("tcp", m.LinkAt(host))
 	if err != nil {
-		rs.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	rs.t.Cleanup(cancel)
+	env.t.Cleanup(cancel)
 	e := New(Config{Machine: m, View: v, Wire: testWire{}, Log: logger, Links: links, Told: source})
-	parts := []func(context.Context) error{v.ServeDeclared, v.ServeServers, e.followServers, e.reports.serve, e.reader.serveLinks, e.reader.serve}
+	parts := []func(context.Context) error{v.ServeDeclared, v.ServeServers, e.followServers, e.boxLinks.serve, e.reader.serveLinks, e.reader.serve}
 	for _, part := range parts {
 		go func() { _ = part(ctx) }()
 	}
-	rs.entries, rs.stores, rs.stops = append(rs.entries, e), append(rs.stores, store), append(rs.stops, cancel)
+	env.entries, env.stores, env.stops = append(env.entries, e), append(env.stores, store), append(env.stops, cancel)
 }
 
-// first returns the place of the entry that reads for all.
-func (rs *readers) first() int {
+// readerIndex returns the index of the entry that reads the list for all.
+func (env *siteEnv) readerIndex() int {
 	first := 0
-	for i, e := range rs.entries {
-		if readsBefore(e.cfg.Machine.Address, rs.entries[first].cfg.Machine.Address) {
+	for i, e := range env.entries {
+		if ranksBefore(e.cfg.Machine.Address, env.entries[first].cfg.Machine.Address) {
 			first = i
 		}
 	}
 	return first
 }
 
-// settle waits until all entries but the reader are told.
-func (rs *readers) settle(but int) {
-	rs.t.Helper()
+// awaitFollowers waits until all entries but the reader receive the list from an entry.
+func (env *siteEnv) awaitFollowers(reader int) {
+	env.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		all := true
-		for i, e := range rs.entries {
-			all = all && (i == but || e.cfg.Told.Tells())
+		for i, e := range env.entries {
+			all = all && (i == reader || e.cfg.Told.Tells())
 		}
 		if all {
 			return
 		}
 	}
-	rs.t.Fatal("not all entries are told the list by one")
+	env.t.Fatal("not all entries receive the list from the reader")
 }
 
-// knows waits until an entry believes in so many servers, and returns how long that took.
-func (rs *readers) knows(i, servers int, limit time.Duration) time.Duration {
-	rs.t.Helper()
+// awaitServers waits until an entry knows a number of servers, and returns how long that took.
+func (env *siteEnv) awaitServers(i, servers int, limit time.Duration) time.Duration {
+	env.t.Helper()
 	began := time.Now()
 	for time.Since(began) < limit {
 		n := 0
-		for _, server := range rs.entries[i].cfg.View.Servers() {
+		for _, server := range env.entries[i].cfg.View.Servers() {
 			if server.Missing.IsZero() {
 				n++
 			}
@@ -158,43 +158,43 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	rs.t.Errorf("entry %d does not know of %d servers after %s", i, servers, limit)
+	env.t.Errorf("entry %d does not know %d servers after %s", i, servers, limit)
 	return limit
 }
 
-// TestOneEntryOfASiteReadsTheList proves that the others make no calls, hear of changes, and read for themselves in time when the
-// reader dies, loses the store without a word, or is itself told by another.
+// TestOneEntryOfASiteReadsTheList checks that followers make no calls and receive changes, and that they read the list themselves in
+// time when the reader dies or its store calls hang.
 func TestOneEntryOfASiteReadsTheList(t *testing.T) {
 	const soon, inTime = 700 * time.Millisecond, 2 * time.Second
 	for name, test := range map[string]struct {
-		// harm strikes the reader; then the list changes.
-		harm  func(rs *readers, reader int)
-		limit time.Duration
-		quiet bool
+		// fault is injected at the reader before the list changes.
+		fault   func(env *siteEnv, reader int)
+		limit   time.Duration
+		noCalls bool
 	}{
-		"nothing happens":                    {func(*readers, int) {}, soon, true},
-		"the reader dies":                    {func(rs *readers, reader int) { rs.stops[reader]() }, inTime, false},
-		"the store is silent for the reader": {func(rs *readers, reader int) { rs.stores[reader].silent.Store(true) }, inTime, false},
+		"no fault":                       {func(*siteEnv, int) {}, soon, true},
+		"reader dies":                    {func(env *siteEnv, reader int) { env.stops[reader]() }, inTime, false},
+		"store calls of the reader hang": {func(env *siteEnv, reader int) { env.stores[reader].hangs.Store(true) }, inTime, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			rs := newReaders(t, 4)
-			reader := rs.first()
-			rs.settle(reader)
-			before := make([]int64, len(rs.stores))
-			for i, store := range rs.stores {
+			env := newSiteEnv(t, 4)
+			reader := env.readerIndex()
+			env.awaitFollowers(reader)
+			before := make([]int64, len(env.stores))
+			for i, store := range env.stores {
 				before[i] = store.calls.Load()
 			}
-			test.harm(rs, reader)
-			for _, store := range rs.stores {
-				store.have("1", "2", "3")
+			test.fault(env, reader)
+			for _, store := range env.stores {
+				store.setServers("1", "2", "3")
 			}
-			for i := range rs.entries {
+			for i := range env.entries {
 				if i != reader {
-					rs.knows(i, 3, test.limit)
+					env.awaitServers(i, 3, test.limit)
 				}
 			}
-			for i, store := range rs.stores {
-				if made := store.calls.Load() - before[i]; test.quiet && i != reader && made > 0 {
+			for i, store := range env.stores {
+				if made := store.calls.Load() - before[i]; test.noCalls && i != reader && made > 0 {
 					t.Errorf("entry %d made %d calls", i, made)
 				}
 			}
@@ -202,67 +202,62 @@
 	}
 }
 
-// TestASiteThatIsBehindHasFewReaders proves that a full link to the store is not kept full by all entries of a site that then read the list
-// for themselves: the reader does, and one that may take its place.
-//
-// What callers saw: as all of a large fleet start, entries answered by an older configuration for seconds, and the longer, the more of
-// them had started. The order of events: the link of their region is full; the reader of a site is behind, and sends those away that
-// follow it; each asks the next one, which is behind as well, 48 times in 11 s at one entry, and reads for itself in between.
+// TestASiteThatIsBehindHasFewReaders checks that on a congested link to the store only the reader and one possible successor read the
+// list, which would otherwise keep the link congested.
 func TestASiteThatIsBehindHasFewReaders(t *testing.T) {
-	const entries, mostReaders, behind, looked = 5, 2, 4 * time.Second, 3 * time.Second
-	rs := newReaders(t, entries)
-	rs.settle(rs.first())
-	for _, store := range rs.stores {
-		store.silent.Store(true)
+	const entries, maxReaders, settleTime, observedTime = 5, 2, 4 * time.Second, 3 * time.Second
+	env := newSiteEnv(t, entries)
+	env.awaitFollowers(env.readerIndex())
+	for _, store := range env.stores {
+		store.hangs.Store(true)
 	}
-	time.Sleep(behind)
+	time.Sleep(settleTime)
 	before := make([]int64, entries)
-	for i, store := range rs.stores {
+	for i, store := range env.stores {
 		before[i] = store.calls.Load()
 	}
-	time.Sleep(looked)
+	time.Sleep(observedTime)
 	read := 0
-	for i, store := range rs.stores {
+	for i, store := range env.stores {
 		if store.calls.Load() > before[i] {
 			read++
 		}
 	}
-	if read > mostReaders {
-		t.Errorf("%d of %d entries read the list for themselves while the store answers none", read, entries)
+	if read > maxReaders {
+		t.Errorf("%d of %d entries read the list themselves while all store calls hang", read, entries)
 	}
 }
 
-// TestEntryThatIsToldTellsNobody proves that an entry which does not read the store itself sends those away that follow it.
-func TestEntryThatIsToldTellsNobody(t *testing.T) {
-	rs := newReaders(t, 2)
-	reader := rs.first()
-	rs.settle(reader)
+// TestEntryWithRelayedListRejectsFollowers checks that an entry which does not read the store itself rejects followers.
+func TestEntryWithRelayedListRejectsFollowers(t *testing.T) {
+	env := newSiteEnv(t, 2)
+	reader := env.readerIndex()
+	env.awaitFollowers(reader)
 	other := 1 - reader
-	if failed := rs.entries[reader].reader.follow(t.Context(), rs.entries[other].cfg.Machine.Address); !failed {
-		t.Error("it is told by one that is told itself")
+	if failed := env.entries[reader].reader.follow(t.Context(), env.entries[other].cfg.Machine.Address); !failed {
+		t.Error("entry follows one that does not read the store itself")
 	}
 }
 
-// TestSmallFleetsHaveNoReader proves that each entry of a small fleet reads for itself.
 func TestSmallFleetsHaveNoReader(t *testing.T) {
 	e := New(Config{Machine: machine.Machine{ID: "a", Address: "127.0.8.1"}})
-	e.reader.heard("box", []string{"127.0.8.1", "127.0.8.2", "127.0.8.3", "127.0.8.4"})
-	e.budget.SetEntries(readerEntries - 1)
-	if host := e.reader.reader(time.Now()); host != "" {
-		t.Errorf("%s reads for a small fleet", host)
+	e.reader.setHosts("box", []string{"127.0.8.1", "127.0.8.2", "127.0.8.3", "127.0.8.4"})
+	e.budget.SetEntries(minEntriesForReader - 1)
+	if host := e.reader.currentReader(time.Now()); host != "" {
+		t.Errorf("%s is the reader of a small fleet", host)
 	}
 }
 
-// TestReaderTellsWhatEnds proves that what the store holds of ends of servers reaches the entries that do not read it.
+// TestReaderTellsWhatEnds checks that quarantine records from the store reach the entries that do not read it.
 func TestReaderTellsWhatEnds(t *testing.T) {
-	rs := newReaders(t, 3)
-	first := rs.first()
-	rs.settle(first)
+	env := newSiteEnv(t, 3)
+	first := env.readerIndex()
+	env.awaitFollowers(first)
 	request := quarantine.FingerprintOf("team", "POST", "h", "/a", nil)
-	held := func(e *Entry) bool { return e.cfg.Quarantine.Held(func() quarantine.Fingerprint { return request }) }
-	ends := func(lives ...string) (records quarantine.Records) {
-		for _, life := range lives {
-			records.Ends = append(records.Ends, quarantine.End{Life: life, Entry: "e", Requests: []quarantine.Fingerprint{request}})
+	quarantined := func(e *Entry) bool { return e.cfg.Quarantine.Held(func() quarantine.Fingerprint { return request }) }
+	exits := func(incarnations ...string) (records quarantine.Records) {
+		for _, incarnation := range incarnations {
+			records.Ends = append(records.Ends, quarantine.End{Life: incarnation, Entry: "e", Requests: []quarantine.Fingerprint{request}})
 		}
 		return records
 	}
@@ -270,19 +265,19 @@
 		t.Helper()
 		for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 			all := true
-			for _, e := range rs.entries {
-				all = all && held(e) == want
+			for _, e := range env.entries {
+				all = all && quarantined(e) == want
 			}
 			if all {
 				return
 			}
 		}
-		t.Errorf("not all entries hold it: %t", want)
+		t.Errorf("request quarantined at all entries: want %t", want)
 	}
-	reader := rs.entries[first].cfg.Quarantine
-	reader.Take(ends("1", "2"))
-	reader.Take(ends("3"))
+	reader := env.entries[first].cfg.Quarantine
+	reader.Take(exits("1", "2"))
+	reader.Take(exits("3"))
 	await(true)
-	reader.Take(quarantine.Records{Gone: []string{ends("3").Ends[0].Key()}})
+	reader.Take(quarantine.Records{Gone: []string{exits("3").Ends[0].Key()}})
 	await(false)
 }
--- a/forward/reports.go
+++ b/forward/reports.go
@@ -17,133 +17,132 @@
 )
 
 const (
-	// tellTime is how long a full link may hold up the telling of one message.
-	tellTime       = 20 * time.Millisecond
-	reportDialTime = time.Second
-	// reportSilence is how long a box may send nothing before its link is ended, reportRedial the pause before the next one.
-	reportSilence = 3 * time.Second
-	reportRedial  = 500 * time.Millisecond
-	// weightStep is by what part the weight of an entry at a box has to change for the box to be told.
-	weightStep = 0.05
+	// sendTimeout bounds how long a full link may block the sending of one message.
+	sendTimeout     = 20 * time.Millisecond
+	linkDialTimeout = time.Second
+	// A link that receives nothing for reportTimeout is closed and opened again after redialDelay.
+	reportTimeout = 3 * time.Second
+	redialDelay   = 500 * time.Millisecond
+	// weightChangeThreshold is the relative change of the entry's weight from which the box is informed.
+	weightChangeThreshold = 0.05
 )
 
-// reports keeps a link to the box of each engine, on which the box tells what its engine does.
-type reports struct {
+// boxLinks keeps a link to the box of each model server, on which the box reports the server's state.
+type boxLinks struct {
 	entry  *Entry
 	client *http.Client
-	woken  chan struct{}
+	wakeup chan struct{}
 
-	mu      sync.Mutex
-	linked  map[string]context.CancelFunc
-	weights map[string]float64
-	heard   map[string]entriesTold
-	conns   map[string]*reportLink
-	told    []view.Named
-	// followers are the boxes that this entry tells what the store holds, by their links, listFollowers the entries of its site that it
-	// tells the list of servers.
+	mu          sync.Mutex
+	cancels     map[string]context.CancelFunc
+	weights     map[string]float64
+	entryCounts map[string]entryCount
+	links       map[string]*boxLink
+	sentTargets []view.Named
+	// followers are the boxes that receive configuration and the server list, listFollowers the entries of the site that receive the
+	// server list.
 	followers     map[*link.Conn]*follower
 	listFollowers map[*link.Conn]*listFollower
-	list          listTeller
+	list          listPublisher
 }
 
-// reportLink is a link to a box, and the server beside it by the latest report.
-type reportLink struct {
-	conn   *link.Conn
-	server string
-	asking bool
+// boxLink is a link to a box; server is the ID of the server in the latest report.
+type boxLink struct {
+	conn      *link.Conn
+	server    string
+	measuring bool
 }
 
-func newReports(e *Entry) *reports {
+func newBoxLinks(e *Entry) *boxLinks {
 	dialer := &net.Dialer{
-		Timeout:         reportDialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepIdle, Interval: keepProbe, Count: keepProbes},
+		Timeout:         linkDialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
 		Control:         setUserTimeout,
 	}
-	return &reports{
+	return &boxLinks{
 		entry: e,
 		client: &http.Client{Transport: &http.Transport{
 			DialContext: dialer.DialContext, ReadBufferSize: connBuffer, WriteBufferSize: connBuffer,
 		}},
-		woken:  make(chan struct{}, 1),
-		linked: make(map[string]context.CancelFunc), weights: make(map[string]float64),
-		heard: make(map[string]entriesTold), conns: make(map[string]*reportLink),
+		wakeup:  make(chan struct{}, 1),
+		cancels: make(map[string]context.CancelFunc), weights: make(map[string]float64),
+		entryCounts: make(map[string]entryCount), links: make(map[string]*boxLink),
 		followers: make(map[*link.Conn]*follower), listFollowers: make(map[*link.Conn]*listFollower),
 	}
 }
 
-// wake has the links follow the list of servers.
-func (rs *reports) wake() {
+// wake makes serve update links and followers.
+func (bl *boxLinks) wake() {
 	select {
-	case rs.woken <- struct{}{}:
+	case bl.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// serve opens a link to each box that is new, and ends those whose box is gone, until ctx ends.
-func (rs *reports) serve(ctx context.Context) error {
-	ticker := time.NewTicker(listBeat)
+// serve opens links to new boxes, closes those to removed ones and sends updates to all, until ctx ends.
+func (bl *boxLinks) serve(ctx context.Context) error {
+	ticker := time.NewTicker(listHeartbeat)
 	defer ticker.Stop()
 	for {
-		rs.link(ctx)
-		rs.tellTargets()
-		rs.tellFollowers()
+		bl.updateLinks(ctx)
+		bl.sendTargets()
+		bl.updateFollowers()
 		for woken := false; !woken; {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-rs.woken:
+			case <-bl.wakeup:
 				woken = true
 			case <-ticker.C:
-				rs.tellListFollowers()
+				bl.publishList()
 			}
 		}
 	}
 }
 
-// link opens and ends links as the list of servers has them; without a configuration all stay as they are. One to a box that the
-// entry no longer keeps to ends once no request is in progress at its server.
-func (rs *reports) link(ctx context.Context) {
-	cfg := rs.entry.cfg.View.Config()
+// updateLinks opens and closes links according to the server list; without a configuration it keeps all. A link to a box outside the
+// subset is closed once no request is in flight at its server.
+func (bl *boxLinks) updateLinks(ctx context.Context) {
+	cfg := bl.entry.cfg.View.Config()
 	if cfg == nil {
 		return
 	}
-	wanted, busy := rs.wanted(cfg)
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	for address, cancel := range rs.linked {
+	wanted, busy := bl.wantedLinks(cfg)
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	for address, cancel := range bl.cancels {
 		if wanted[address] == 0 && !busy[address] {
 			cancel()
-			delete(rs.linked, address)
-			delete(rs.heard, address)
-			delete(rs.weights, address)
+			delete(bl.cancels, address)
+			delete(bl.entryCounts, address)
+			delete(bl.weights, address)
 		}
 	}
 	for address, weight := range wanted {
-		if rs.linked[address] == nil {
+		if bl.cancels[address] == nil {
 			linkCtx, cancel := context.WithCancel(ctx)
-			rs.linked[address] = cancel
-			go rs.keep(linkCtx, address)
+			bl.cancels[address] = cancel
+			go bl.maintainLink(linkCtx, address)
 		}
-		if old := rs.weights[address]; math.Abs(weight-old) > weightStep*old {
-			rs.weights[address] = weight
-			if l := rs.conns[address]; l != nil {
-				tellNow(l.conn, rs.hello(weight))
+		if old := bl.weights[address]; math.Abs(weight-old) > weightChangeThreshold*old {
+			bl.weights[address] = weight
+			if l := bl.links[address]; l != nil {
+				trySend(l.conn, bl.hello(weight))
 			}
 		}
 	}
 }
 
-// hello returns what the entry says of itself to a box.
-func (rs *reports) hello(weight float64) *link.Hello {
-	return &link.Hello{ID: rs.entry.cfg.Machine.ID, Role: link.RoleEntry, Site: rs.entry.cfg.Machine.Site, Weight: weight, Host: rs.entry.cfg.Machine.Address}
+// hello returns the message that introduces the entry to a box.
+func (bl *boxLinks) hello(weight float64) *link.Hello {
+	return &link.Hello{ID: bl.entry.cfg.Machine.ID, Role: link.RoleEntry, Site: bl.entry.cfg.Machine.Site, Weight: weight, Host: bl.entry.cfg.Machine.Address}
 }
 
-// wanted returns the addresses of the boxes of the engines that the entry keeps to, with for how many entries it stands there, and
-// those at whose servers requests are in progress.
-func (rs *reports) wanted(cfg *contract.Config) (wanted map[string]float64, busy map[string]bool) {
+// wantedLinks returns the weights of the boxes in the subset by address, and the boxes at whose servers requests are in flight.
+func (bl *boxLinks) wantedLinks(cfg *contract.Config) (wanted map[string]float64, busy map[string]bool) {
 	wanted, busy = make(map[string]float64), make(map[string]bool)
-	for _, up := range rs.entry.upstreams.all() {
-		server, weight, serves := up.keptTo()
+	for _, up := range bl.entry.upstreams.all() {
+		server, weight, inUse := up.linkInfo()
 		service := cfg.Service(server.Service)
 		if service == nil || service.Engine == nil {
 			continue
@@ -152,8 +151,8 @@
 		if err != nil {
 			continue
 		}
-		address := rs.entry.cfg.Machine.LinkAt(host)
-		busy[address] = busy[address] || serves
+		address := bl.entry.cfg.Machine.LinkAt(host)
+		busy[address] = busy[address] || inUse
 		if weight > 0 {
 			wanted[address] = weight
 		}
@@ -161,128 +160,128 @@
 	return wanted, busy
 }
 
-// keep holds a link to one box until ctx ends.
-func (rs *reports) keep(ctx context.Context, address string) {
+// maintainLink keeps a link to one box open until ctx ends.
+func (bl *boxLinks) maintainLink(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		rs.hear(ctx, address)
+		bl.receiveReports(ctx, address)
 		select {
 		case <-ctx.Done():
-		case <-time.After(reportRedial):
+		case <-time.After(redialDelay):
 		}
 	}
 }
 
-// hear takes reports from one box until the link ends or falls silent.
-func (rs *reports) hear(ctx context.Context, address string) {
-	dialCtx, cancel := context.WithTimeout(ctx, reportDialTime)
+// receiveReports handles the messages of one box until the link ends or times out.
+func (bl *boxLinks) receiveReports(ctx context.Context, address string) {
+	dialCtx, cancel := context.WithTimeout(ctx, linkDialTimeout)
 	defer cancel()
-	conn, err := link.Dial(dialCtx, rs.client, address, nil)
+	conn, err := link.Dial(dialCtx, bl.client, address, nil)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, conn.Close)
 	defer stop()
-	rs.mu.Lock()
-	weight := rs.weights[address]
-	rs.mu.Unlock()
-	if err := conn.Send(ctx, rs.hello(weight)); err != nil {
+	bl.mu.Lock()
+	weight := bl.weights[address]
+	bl.mu.Unlock()
+	if err := conn.Send(ctx, bl.hello(weight)); err != nil {
 		return
 	}
-	rs.join(address, conn)
-	defer rs.leave(address, conn)
-	silence := time.AfterFunc(reportSilence, conn.Close)
-	defer silence.Stop()
+	bl.addLink(address, conn)
+	defer bl.removeLink(address, conn)
+	timeout := time.AfterFunc(reportTimeout, conn.Close)
+	defer timeout.Stop()
 	for {
 		msg, err := conn.Receive()
 		if err != nil {
 			return
 		}
-		silence.Reset(reportSilence)
+		timeout.Reset(reportTimeout)
 		switch msg := msg.(type) {
 		case *link.Report:
-			rs.entry.upstreams.heard(*msg, clock.Now())
-			rs.entry.cfg.View.OfferRevision(msg.Revision)
-			rs.count(address, msg)
+			bl.entry.upstreams.heard(*msg, clock.Now())
+			bl.entry.cfg.View.OfferRevision(msg.Revision)
+			bl.updateEntryCount(address, msg)
 		case *link.Follow:
-			rs.follow(conn, msg.Service)
+			bl.setFollower(conn, msg.Service)
 		case *link.Entries:
-			rs.entry.reader.heard(address, msg.Hosts)
+			bl.entry.reader.setHosts(address, msg.Hosts)
 		}
 	}
 }
 
-// join tells a box that is newly linked the versions that should run, and those named from now on.
-func (rs *reports) join(address string, conn *link.Conn) {
-	rs.mu.Lock()
-	rs.conns[address] = &reportLink{conn: conn}
-	rs.mu.Unlock()
-	for _, target := range rs.entry.cfg.View.Targets() {
-		tell(conn, target)
+// addLink registers the link to a box and sends the box the current target versions.
+func (bl *boxLinks) addLink(address string, conn *link.Conn) {
+	bl.mu.Lock()
+	bl.links[address] = &boxLink{conn: conn}
+	bl.mu.Unlock()
+	for _, target := range bl.entry.cfg.View.Targets() {
+		sendTarget(conn, target)
 	}
 }
 
-func (rs *reports) leave(address string, conn *link.Conn) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	delete(rs.followers, conn)
-	rs.entry.reader.heard(address, nil)
-	if l := rs.conns[address]; l != nil && l.conn == conn {
-		delete(rs.conns, address)
+func (bl *boxLinks) removeLink(address string, conn *link.Conn) {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	delete(bl.followers, conn)
+	bl.entry.reader.setHosts(address, nil)
+	if l := bl.links[address]; l != nil && l.conn == conn {
+		delete(bl.links, address)
 	}
 }
 
-// tellTargets tells all boxes of versions that were named since the last time: boxes follow what is declared more slowly.
-func (rs *reports) tellTargets() {
-	targets := rs.entry.cfg.View.Targets()
-	rs.mu.Lock()
-	if slices.Equal(targets, rs.told) {
-		rs.mu.Unlock()
+// sendTargets sends new target versions to all boxes, which would learn of them later by themselves.
+func (bl *boxLinks) sendTargets() {
+	targets := bl.entry.cfg.View.Targets()
+	bl.mu.Lock()
+	if slices.Equal(targets, bl.sentTargets) {
+		bl.mu.Unlock()
 		return
 	}
-	rs.told = targets
-	conns := slices.Collect(maps.Values(rs.conns))
-	rs.mu.Unlock()
+	bl.sentTargets = targets
+	conns := slices.Collect(maps.Values(bl.links))
+	bl.mu.Unlock()
 	for _, l := range conns {
 		for _, target := range targets {
-			tell(l.conn, target)
+			sendTarget(l.conn, target)
 		}
 	}
 }
 
-// tell tells of a target; a box whose link is full hears of it from others.
-func tell(conn *link.Conn, target view.Named) {
-	_ = tellNow(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Ago: clock.Since(target.At)})
+// sendTarget sends a target version. It is dropped if the link is full: the box receives it from other entries too.
+func sendTarget(conn *link.Conn, target view.Named) {
+	_ = trySend(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Ago: clock.Since(target.At)})
 }
 
-// tellNow queues a message; it reports whether there was room.
-func tellNow(conn *link.Conn, msg link.Message) bool {
-	return conn.SendWithin(tellTime, msg) == nil
+// trySend queues a message and reports whether the link had room.
+func trySend(conn *link.Conn, msg link.Message) bool {
+	return conn.SendWithin(sendTimeout, msg) == nil
 }
 
-// count takes how many entries a box hears, and for how many these stand. The most that any box hears share the budget, or the
-// mean of those for which they stand: where all entries hear all boxes that is the same.
-func (rs *reports) count(address string, report *link.Report) {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	if l := rs.conns[address]; l != nil {
+// updateEntryCount sets the number of entries that share the retry budget from a box's report: the most entries connected to one box
+// or the mean total weight per box, whichever is larger.
+func (bl *boxLinks) updateEntryCount(address string, report *link.Report) {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	if l := bl.links[address]; l != nil {
 		l.server = report.Server
 	}
-	told := entriesTold{hearing: report.Entries, standing: report.Standing}
-	if rs.heard[address] == told {
+	count := entryCount{connected: report.Entries, weighted: report.Standing}
+	if bl.entryCounts[address] == count {
 		return
 	}
-	rs.heard[address] = told
+	bl.entryCounts[address] = count
 	most, sum := 1, 0.0
-	for _, told := range rs.heard {
-		most = max(most, told.hearing)
-		sum += told.standing
+	for _, count := range bl.entryCounts {
+		most = max(most, count.connected)
+		sum += count.weighted
 	}
-	rs.entry.budget.SetEntries(max(most, int(math.Round(sum/float64(len(rs.heard))))))
+	bl.entry.budget.SetEntries(max(most, int(math.Round(sum/float64(len(bl.entryCounts))))))
 }
 
-// entriesTold is how many entries a box hears, and for how many these stand.
-type entriesTold struct {
-	hearing  int
-	standing float64
+// entryCount is the number of entries connected to a box, and the total weight of these.
+type entryCount struct {
+	connected int
+	weighted  float64
 }
--- a/forward/serverlog.go
+++ b/forward/serverlog.go
@@ -7,27 +7,26 @@
 	"strings"
 )
 
-// stackLines is how much of a panic's stack is written at most.
-const stackLines = 40
+const maxStackLines = 40
 
-// serverLog takes what a server of net/http says and writes each text as one line of the entry's log.
+// serverLog is an io.Writer that turns each message of a net/http server into one line of the entry's log.
 type serverLog struct {
 	entry   *Entry
 	message string
 }
 
-// Write takes one text: its first line is the cause, what follows a panic's stack.
+// Write logs one message: its first line is the cause, the rest is the stack of a panic.
 func (l serverLog) Write(text []byte) (int, error) {
 	parts := strings.Split(strings.TrimSpace(string(text)), "\n")
 	line := l.entry.log.WithField("cause", parts[0])
 	if stack := parts[1:]; len(stack) > 0 {
-		line = line.WithField("stack", stack[:min(len(stack), stackLines)])
+		line = line.WithField("stack", stack[:min(len(stack), maxStackLines)])
 	}
 	line.Warn(l.message)
 	return len(text), nil
 }
 
-// errorLog returns a log for a server of net/http.
+// errorLog returns the error log of a net/http server.
 func (e *Entry) errorLog(message string) *stdlog.Logger {
 	return stdlog.New(serverLog{entry: e, message: message}, "", 0)
 }
--- a/forward/siblings.go
+++ b/forward/siblings.go
@@ -12,162 +12,160 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// A caller that was refused comes back to another entry of its site. Entries of a site tell each other what they refused, so that
-// it is known there for what it is: first tries go before returns where there is not room for all. Links are opened only when
-// there is something to tell.
+// A refused caller retries at another entry of its site. The entries of a site send each other the requests they refused, so that
+// first tries take precedence over retries when there is not room for both. Links are opened on demand.
 
 const (
-	// gatherRefusals is how long refusals are gathered into one message: no caller is told to come back so soon.
-	gatherRefusals = 50 * time.Millisecond
-	// siblingDialTime bounds the opening of a link within the site: one that is gone must not keep others from being told.
-	siblingDialTime = 200 * time.Millisecond
-	// siblingIdle is how long a link rests before it is closed, siblingRest how long an entry that was not reached is left alone.
-	siblingIdle = 10 * time.Second
-	siblingRest = time.Second
-	// mostUntold bounds what waits to be told.
-	mostUntold = 4096
+	// refusalBatchDelay is how long refusals are collected for one message; no caller is told to retry sooner.
+	refusalBatchDelay = 50 * time.Millisecond
+	// peerDialTimeout bounds the dialing of an entry, so that an unreachable one does not delay the others' messages.
+	peerDialTimeout = 200 * time.Millisecond
+	// A link is closed after it was idle for peerIdleTimeout; an entry that was not reached is skipped for peerBackoff.
+	peerIdleTimeout = 10 * time.Second
+	peerBackoff     = time.Second
+	// maxPendingRefusals bounds the refusals that wait to be sent.
+	maxPendingRefusals = 4096
 )
 
-// siblings tells the other entries of the site what this one refuses.
-type siblings struct {
-	entry *Entry
-	woken chan struct{}
+// peerNotifier sends the requests that this entry refused to the other entries of the site.
+type peerNotifier struct {
+	entry  *Entry
+	wakeup chan struct{}
 
-	mu     sync.Mutex
-	untold []admission.Refusal
+	mu      sync.Mutex
+	pending []admission.Refusal
 
-	// links are used by serve alone.
-	links map[string]*siblingLink
+	// links is used by serve only.
+	links map[string]*peerLink
 }
 
-// siblingLink is a link to another entry; conn is nil while there is none, rests until when it is left alone.
-type siblingLink struct {
-	conn  *link.Conn
-	used  time.Time
-	rests time.Time
+// peerLink is a link to another entry; conn is nil while there is none, and the entry is not dialed before retryAt.
+type peerLink struct {
+	conn    *link.Conn
+	usedAt  time.Time
+	retryAt time.Time
 }
 
-func newSiblings(e *Entry) *siblings {
-	return &siblings{entry: e, woken: make(chan struct{}, 1), links: make(map[string]*siblingLink)}
+func newPeerNotifier(e *Entry) *peerNotifier {
+	return &peerNotifier{entry: e, wakeup: make(chan struct{}, 1), links: make(map[string]*peerLink)}
 }
 
-// refused notes a request that this entry refuses, here and for the others.
-func (s *siblings) refused(refusal admission.Refusal, now time.Time) {
-	s.entry.returns.Note(refusal, now)
-	s.mu.Lock()
-	if len(s.untold) < mostUntold {
-		s.untold = append(s.untold, refusal)
+// add records a request that this entry refused and queues it for the other entries.
+func (pn *peerNotifier) add(refusal admission.Refusal, now time.Time) {
+	pn.entry.returns.Note(refusal, now)
+	pn.mu.Lock()
+	if len(pn.pending) < maxPendingRefusals {
+		pn.pending = append(pn.pending, refusal)
 	}
-	s.mu.Unlock()
+	pn.mu.Unlock()
 	select {
-	case s.woken <- struct{}{}:
+	case pn.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// take notes what another entry refused.
-func (s *siblings) take(msg *link.Refused) {
+// apply records the requests that another entry refused.
+func (pn *peerNotifier) apply(msg *link.Refused) {
 	now := clock.Now()
 	for _, r := range msg.Refusals {
-		s.entry.returns.Note(admission.Refusal{Print: r.Print, First: now.Add(-r.Ago), Ends: now.Add(r.Left)}, now)
+		pn.entry.returns.Note(admission.Refusal{Print: r.Print, First: now.Add(-r.Ago), Ends: now.Add(r.Left)}, now)
 	}
 }
 
-// serve tells the other entries of the site until ctx ends.
-func (s *siblings) serve(ctx context.Context) error {
-	defer s.closeAll()
+// serve sends queued refusals to the other entries of the site until ctx ends.
+func (pn *peerNotifier) serve(ctx context.Context) error {
+	defer pn.closeAll()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.woken:
-		case <-time.After(siblingIdle):
-			s.closeIdle()
+		case <-pn.wakeup:
+		case <-time.After(peerIdleTimeout):
+			pn.closeIdle()
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(gatherRefusals):
+		case <-time.After(refusalBatchDelay):
 		}
-		s.tell(ctx)
+		pn.notifyPeers(ctx)
 	}
 }
 
-// tell tells all what has been refused since the last time.
-func (s *siblings) tell(ctx context.Context) {
-	s.mu.Lock()
-	untold := s.untold
-	s.untold = nil
-	s.mu.Unlock()
+// notifyPeers sends the queued refusals to all other entries of the site.
+func (pn *peerNotifier) notifyPeers(ctx context.Context) {
+	pn.mu.Lock()
+	refusals := pn.pending
+	pn.pending = nil
+	pn.mu.Unlock()
 	now := clock.Now()
-	msg := &link.Refused{Refusals: make([]link.Refusal, len(untold))}
-	for i, r := range untold {
+	msg := &link.Refused{Refusals: make([]link.Refusal, len(refusals))}
+	for i, r := range refusals {
 		msg.Refusals[i] = link.Refusal{Print: r.Print, Ago: now.Sub(r.First), Left: r.Ends.Sub(now)}
 	}
-	for _, host := range s.entry.reader.siblings() {
-		s.tellOne(ctx, host, msg)
+	for _, host := range pn.entry.reader.peerHosts() {
+		pn.notifyPeer(ctx, host, msg)
 	}
 }
 
-// tellOne tells one entry; what it misses it takes for first tries.
-func (s *siblings) tellOne(ctx context.Context, host string, msg *link.Refused) {
-	l := s.links[host]
+// notifyPeer sends a message to one entry; an entry that misses it takes retries for first tries.
+func (pn *peerNotifier) notifyPeer(ctx context.Context, host string, msg *link.Refused) {
+	l := pn.links[host]
 	if l == nil {
-		l = &siblingLink{}
-		s.links[host] = l
+		l = &peerLink{}
+		pn.links[host] = l
 	}
 	now := clock.Now()
-	if l.conn == nil && now.Before(l.rests) {
+	if l.conn == nil && now.Before(l.retryAt) {
 		return
 	}
 	if l.conn == nil {
-		l.conn = s.dial(ctx, host)
+		l.conn = pn.dial(ctx, host)
 	}
-	l.used = now
-	if l.conn == nil || !tellNow(l.conn, msg) {
+	l.usedAt = now
+	if l.conn == nil || !trySend(l.conn, msg) {
 		l.close()
-		l.rests = now.Add(siblingRest)
+		l.retryAt = now.Add(peerBackoff)
 	}
 }
 
-// dial opens a link to another entry; nil when that is not reached.
-func (s *siblings) dial(ctx context.Context, host string) *link.Conn {
-	ctx, cancel := context.WithTimeout(ctx, siblingDialTime)
+// dial opens a link to another entry; nil if it is not reached.
+func (pn *peerNotifier) dial(ctx context.Context, host string) *link.Conn {
+	ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 	defer cancel()
-	conn, err := link.Dial(ctx, s.entry.reports.client, s.entry.cfg.Machine.LinkAt(host), nil)
+	conn, err := link.Dial(ctx, pn.entry.boxLinks.client, pn.entry.cfg.Machine.LinkAt(host), nil)
 	if err != nil {
 		return nil
 	}
 	return conn
 }
 
-// closeIdle closes the links that have rested for long.
-func (s *siblings) closeIdle() {
-	for host, l := range s.links {
-		if clock.Since(l.used) >= siblingIdle {
+func (pn *peerNotifier) closeIdle() {
+	for host, l := range pn.links {
+		if clock.Since(l.usedAt) >= peerIdleTimeout {
 			l.close()
-			delete(s.links, host)
+			delete(pn.links, host)
 		}
 	}
 }
 
-func (s *siblings) closeAll() {
-	for _, l := range s.links {
+func (pn *peerNotifier) closeAll() {
+	for _, l := range pn.links {
 		l.close()
 	}
 }
 
-// close ends the link, if there is one.
-func (l *siblingLink) close() {
+// close closes the link if it is open.
+func (l *peerLink) close() {
 	if l.conn != nil {
 		l.conn.Close()
 		l.conn = nil
 	}
 }
 
-// returnPrint tells a request when it comes again, as well as needs be where nothing but an order hangs on it.
-func (c *call) returnPrint() uint64 {
+// retryHash identifies a request across tries; a collision affects only the order of requests.
+func (c *call) retryHash() uint64 {
 	h := xxhash.New()
 	for _, part := range []string{c.teamName(), c.r.Method, c.r.Host, c.r.RequestURI} {
 		_, _ = h.WriteString(part)
@@ -177,27 +175,26 @@
 	return h.Sum64()
 }
 
-// sinceFirstTry returns how long ago the request was tried first: 0 for a first try.
+// sinceFirstTry returns the time since the caller's first try, 0 for a first try.
 func (c *call) sinceFirstTry() time.Duration {
-	if !c.ordered() {
+	if !c.tracked() {
 		return 0
 	}
-	first, returns := c.entry.returns.Take(c.returnPrint(), c.callerEnds(), c.started)
-	if !returns {
+	first, isRetry := c.entry.returns.Take(c.retryHash(), c.callerDeadline(), c.started)
+	if !isRetry {
 		return 0
 	}
 	return c.started.Sub(first)
 }
 
-// noteRefused has the entries of the site know the request when its caller returns.
+// announceRefusal lets the entries of the site recognise the request when its caller retries.
 func (c *call) noteRefused() {
-	if c.ordered() {
-		c.entry.siblings.refused(admission.Refusal{Print: c.returnPrint(), First: c.started.Add(-c.waited), Ends: c.callerEnds()}, clock.Now())
+	if c.tracked() {
+		c.entry.peers.add(admission.Refusal{Print: c.retryHash(), First: c.started.Add(-c.waited), Ends: c.callerDeadline()}, clock.Now())
 	}
 }
 
-// ordered reports whether first tries and returns are told apart for the request.
-func (c *call) ordered() bool { return c.service != nil && c.service.Engine != nil && c.ask.Wait > 0 }
+// tracked reports whether retries of the request are told apart from first tries.
+func (c *call) tracked() bool { return c.service != nil && c.service.Engine != nil && c.ask.Wait > 0 }
 
-// callerEnds returns when the caller's own time ends.
-func (c *call) callerEnds() time.Time { return c.started.Add(c.ask.Wait) }
+func (c *call) callerDeadline() time.Time { return c.started.Add(c.ask.Wait) }
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -11,15 +11,15 @@
 	"github.com/coralstair/coralstair/link"
 )
 
-// TestSilentReportsAreAskedForAnew proves that a link to a box on which reports stop is ended and opened anew, while another box
-// goes on reporting on its first link.
+// TestSilentReportsAreAskedForAnew checks that a link without reports is closed and reopened, while the link to another box stays
+// open.
 func TestSilentReportsAreAskedForAnew(t *testing.T) {
 	t.Parallel()
 	probe, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Held until the test ends, so that the port is given to no other test.
+	// Held until the test ends, so that no other test gets the port.
 	t.Cleanup(func() { _ = probe.Close() })
 	port := probe.Addr().(*net.TCPAddr).Port
 	box := func(host, server string, silent bool) *atomic.Int32 {
@@ -34,9 +34,9 @@
 				return
 			}
 			defer conn.Close()
-			stops := links.Add(1) == 1 && silent
+			once := links.Add(1) == 1 && silent
 			go func() {
-				for conn.Send(conn.Context(), &link.Report{Server: server, Model: engineModel, Version: 1}) == nil && !stops {
+				for conn.Send(conn.Context(), &link.Report{Server: server, Model: engineModel, Version: 1}) == nil && !once {
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
@@ -49,16 +49,16 @@
 		go func() { _ = s.Serve(listener) }()
 		return &links
 	}
-	stops, goesOn := box("127.0.9.1", serverName(0), true), box("127.0.9.2", serverName(1), false)
+	stopped, reporting := box("127.0.9.1", serverName(0), true), box("127.0.9.2", serverName(1), false)
 	w := newEngineWorld(t, "127.0.9.1:1", "127.0.9.2:1")
 	w.entry.cfg.Machine.LinkPort = port
-	go func() { _ = w.entry.reports.serve(t.Context()) }()
-	for deadline := time.Now().Add(reportSilence + 3*time.Second); stops.Load() < 2; time.Sleep(10 * time.Millisecond) {
+	go func() { _ = w.entry.boxLinks.serve(t.Context()) }()
+	for deadline := time.Now().Add(reportTimeout + 3*time.Second); stopped.Load() < 2; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d links to the box that fell silent", stops.Load())
+			t.Fatalf("%d links opened to the box that stopped reporting", stopped.Load())
 		}
 	}
-	if n := goesOn.Load(); n != 1 {
-		t.Errorf("%d links to the box that goes on, want 1", n)
+	if n := reporting.Load(); n != 1 {
+		t.Errorf("%d links opened to the reporting box, want 1", n)
 	}
 }
--- a/forward/size_test.go
+++ b/forward/size_test.go
@@ -12,8 +12,8 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// sizeWorld is an entry of a fleet with so many servers, three quarters of them engines.
-func sizeWorld(n int) (*Entry, []view.Listed) {
+// newSizedEntry returns an entry and a list of n servers, three quarters of them model servers.
+func newSizedEntry(n int) (*Entry, []view.Listed) {
 	servers := make([]view.Listed, n)
 	for i := range servers {
 		service := "s"
@@ -33,10 +33,10 @@
 	return e, servers
 }
 
-// BenchmarkListChange takes a list in which one server has changed.
+// BenchmarkListChange applies a list in which one server has changed.
 func BenchmarkListChange(b *testing.B) {
 	for _, n := range []int{301, 1002, 3002} {
-		e, servers := sizeWorld(n)
+		e, servers := newSizedEntry(n)
 		e.upstreams.update(servers)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
@@ -47,11 +47,11 @@
 	}
 }
 
-// BenchmarkTellListChange finds what entries that follow are to be told of one server that has changed.
+// BenchmarkTellListChange encodes a change of one server for following entries.
 func BenchmarkTellListChange(b *testing.B) {
 	for _, n := range []int{301, 1002, 3002} {
-		_, servers := sizeWorld(n)
-		var teller listTeller
+		_, servers := newSizedEntry(n)
+		var publisher listPublisher
 		followers := make([]*listFollower, 20)
 		for i := range followers {
 			followers[i] = &listFollower{}
@@ -59,84 +59,79 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
 				servers[0].Slots++
-				encodeNews(&teller, followers, servers)
+				publishChanges(&publisher, followers, servers)
 			}
 		})
 	}
 }
 
-// TestTellingOthersTakesLittle proves that an entry that tells the list of servers to 20 others works at most half as much again as one
-// that tells it to one: what is new is found out and encoded once for all.
-//
-// What callers saw: an entry that reads the list for its site answered by an older configuration for seconds. The order of events: the
-// servers of a large fleet come and change; the reader finds out for each follower what is new, and encodes it for each; its processor
-// share is used up, and what is declared waits for it. The evidence: one change of 3,002 servers took 40 ms with 20 followers, and each
-// sign of life as much, 4 ms without.
+// TestTellingOthersTakesLittle checks that publishing the list to 20 followers takes at most 1.5 times as long as to one: changes are
+// computed and encoded once for all, or the reader runs out of CPU time.
 func TestTellingOthersTakesLittle(t *testing.T) {
 	const (
 		changes = 5
-		// rounds is how often both are played, in turn: the least time of each is that in which the processor was disturbed least.
+		// rounds is how often both are run in turn; the minimum of each is the least disturbed run.
 		rounds = 40
 	)
-	one, many := newListWork(1), newListWork(20)
-	leastOne, leastMany := time.Hour, time.Hour
+	one, many := newPublishWork(1), newPublishWork(20)
+	minOne, minMany := time.Hour, time.Hour
 	for range rounds {
-		leastOne = min(leastOne, one.play(t, changes))
-		leastMany = min(leastMany, many.play(t, changes))
+		minOne = min(minOne, one.run(t, changes))
+		minMany = min(minMany, many.run(t, changes))
 	}
-	if leastMany > leastOne*3/2 {
-		t.Errorf("%d changes take %s with one other to tell and %s with 20", changes, leastOne, leastMany)
+	if minMany > minOne*3/2 {
+		t.Errorf("%d changes take %s with one follower and %s with 20", changes, minOne, minMany)
 	}
 }
 
-// TestTellingTakesLittle proves that an entry that tells the list of servers to 20 others works at most half as much again as one that tells
-// nobody. It is the check with which the fault of TestTellingOthersTakesLittle was found.
+// TestTellingTakesLittle checks that publishing the list to 20 followers takes at most 1.5 times as long as applying it without
+// followers.
 func TestTellingTakesLittle(t *testing.T) {
 	const changes, rounds = 5, 40
-	alone, reader := newListWork(0), newListWork(20)
-	leastAlone, leastReader := time.Hour, time.Hour
+	alone, reader := newPublishWork(0), newPublishWork(20)
+	minAlone, minReader := time.Hour, time.Hour
 	for range rounds {
-		leastAlone = min(leastAlone, alone.play(t, changes))
-		leastReader = min(leastReader, reader.play(t, changes))
+		minAlone = min(minAlone, alone.run(t, changes))
+		minReader = min(minReader, reader.run(t, changes))
 	}
-	if leastReader > leastAlone*3/2 {
-		t.Errorf("%d changes take %s alone and %s with 20 others to tell", changes, leastAlone, leastReader)
+	if minReader > minAlone*3/2 {
+		t.Errorf("%d changes take %s without followers and %s with 20", changes, minAlone, minReader)
 	}
 }
 
-// listWork is an entry that tells others the list of servers.
-type listWork struct {
+// publishWork is an entry that publishes the list of servers.
+type publishWork struct {
 	entry     *Entry
 	servers   []view.Listed
-	teller    listTeller
+	publisher listPublisher
 	followers []*listFollower
 }
 
-func newListWork(followers int) *listWork {
-	w := &listWork{}
-	w.entry, w.servers = sizeWorld(3002)
+func newPublishWork(followers int) *publishWork {
+	w := &publishWork{}
+	w.entry, w.servers = newSizedEntry(3002)
 	for range followers {
 		w.followers = append(w.followers, &listFollower{})
 	}
 	return w
 }
 
-// play has some servers change, one after the other, and returns how much processor time that took.
-func (w *listWork) play(t *testing.T, changes int) time.Duration {
+// run changes a server several times and returns the CPU time taken.
+func (w *publishWork) run(t *testing.T, changes int) time.Duration {
 	t.Helper()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	began := processorTime(t)
+	began := threadCPUTime(t)
 	for range changes {
 		w.servers[0].Slots++
 		w.entry.upstreams.update(w.servers)
-		encodeNews(&w.teller, w.followers, w.servers)
+		publishChanges(&w.publisher, w.followers, w.servers)
 	}
-	return processorTime(t) - began
+	return threadCPUTime(t) - began
 }
 
-// processorTime returns the processor time of this thread.
-func processorTime(t *testing.T) time.Duration {
+// threadCPUTime returns the CPU time of this thread.
+func threadCPUTime(t *testing.T) time.Duration {
 	t.Helper()
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &now); err != nil {
@@ -145,12 +140,12 @@
 	return time.Duration(now.Nano())
 }
 
-// encodeNews finds out and encodes what each of some followers is to be told of the list.
-func encodeNews(teller *listTeller, followers []*listFollower, servers []view.Listed) {
+// publishChanges computes and encodes the messages due for each follower.
+func publishChanges(publisher *listPublisher, followers []*listFollower, servers []view.Listed) {
 	if len(followers) > 0 {
-		teller.advance(servers)
+		publisher.update(servers)
 	}
 	for _, f := range followers {
-		teller.next(f, time.Now())
+		publisher.next(f, time.Now())
 	}
 }
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -15,96 +15,100 @@
 )
 
 const (
-	// reportLife is how long a report counts as what a server does.
+	// reportTTL is how long a report is taken as the current state of a server.
 	reportLife = 1500 * time.Millisecond
-	// reportUsual is how old the latest report of a box usually is at most.
-	reportUsual = 600 * time.Millisecond
-	// lagWeight is the weight of the newest first event in the lag, lagUsual what the way there and the model's error
-	// account for, lagHalf how long until a lag counts half.
-	lagWeight = 0.4
-	lagUsual  = 40 * time.Millisecond
-	lagHalf   = 2 * time.Second
-	// stuckUsual is how long a first event may be overdue before its server counts as stuck, stuckFactor how dearly.
-	stuckUsual  = 200 * time.Millisecond
-	stuckFactor = 4
-	// firstEjection and maxEjection bound how long a server is ejected after failures, longer for each in a row.
-	firstEjection = 500 * time.Millisecond
-	maxEjection   = 4 * time.Second
-	// failuresToEject is how many failures in a row eject a server.
+	// usualReportAge is the usual upper bound on the age of a server's latest report.
+	usualReportAge = 600 * time.Millisecond
+	// lagWeight is the weight of a new sample in the moving average of the lag, lagHalfLife the half-life of the
+	// average. lagTolerance covers network delay and the error of the prediction.
+	lagWeight    = 0.4
+	lagTolerance = 40 * time.Millisecond
+	lagHalfLife  = 2 * time.Second
+	// A server whose oldest first event is overdue by more than overdueTolerance is stalled; the excess is added to its
+	// cost overdueFactor times.
+	overdueTolerance = 200 * time.Millisecond
+	stuckFactor      = 4
+	// minEjection and maxEjection bound the length of an ejection, which doubles with each further failure.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
+	// failuresToEject is the number of consecutive failures that eject a server.
 	failuresToEject = 2
 )
 
-// upstream is one server as this entry sees it.
+// upstream is the state of one server as known to this entry.
 type upstream struct {
 	mu     sync.Mutex
 	server contract.Server
-	// born is when the life of the server began that this stands for, as its box or the list told last; listedBorn is what the
-	// list tells, which may lag. 0 while not told.
+	// born is the start time of the server's incarnation, as last reported by its box or the list; listedBorn is the
+	// list's value, which may lag. Both are 0 while unknown.
 	born       int64
 	listedBorn int64
-	// weight is for how many entries this one stands at the server, 0 where it does not keep to it.
+	// weight is the number of entries that this one represents at the server; 0 if the server is outside its subset.
 	weight float64
-	// missing says that the server is no longer listed, which may be a lapse of the list; from goneAt on it gets nothing more.
+	// missing is set while the server is not listed, possibly by a lapse of the list; it gets no requests after
+	// unusableAt.
 	missing bool
 	goneAt  time.Time
 
-	// inFlight are this entry's requests there, reading those without a first event, unread their prompt tokens.
+	// inFlight counts this entry's requests at the server, reading those without a first event, and unread the prompt
+	// tokens of the latter.
 	inFlight int
 	reading  int
 	unread   int
-	// tickets are those in progress; pending are those without a first event, the oldest first.
+	// All requests in flight, and those without a first event with the oldest first.
 	tickets map[*ticket]bool
 	pending []*ticket
-	// lag is by how much first events came later than predicted, at lagAt; it fades.
+	// lag is the decaying average delay of first events beyond their prediction, as of lagAt.
 	lag   time.Duration
 	lagAt time.Time
 
 	report   link.Report
 	reportAt time.Time
 	way      way
-	// othersWriting and othersReading are what the latest report counted beyond this entry's own.
+	// othersWriting and othersReading count the decoding and prefilling requests of other entries in the latest report.
 	othersWriting int
 	othersReading int
 
 	failures int
-	// ejection is how long the server was ejected last, until ejectedUntil.
+	// ejection is the length of the latest ejection, which ends at ejectedUntil.
 	ejection     time.Duration
 	ejectedUntil time.Time
-	// denied is when the server itself said that it is not what the list and its box say; zero once these say something new.
+	// misdirectedAt is when the server last answered 421; zero once the list or its box reports a change.
 	denied time.Time
 
-	// asked is what the server asked of its callers last, limit what it takes by that; saysLeaving says that one of its answers said
-	// that it leaves, rests is until when it wants nothing.
+	// lastPushback is the server's latest pushback signal, limit the limit set by such signals. announcedLeave is set
+	// once a response or report announces a leave; nothing is sent before pausedUntil.
 	asked       pushback.Word
 	limit       pushback.Limit
 	saysLeaving bool
 	rests       time.Time
 
-	// broken are the requests whose connections ended of late, checked is closed once it is found out whether the server has, nil
-	// while nobody asks; endedAt is when it was found that it had, toLog are the requests of the line that says so.
-	broken  []broken
-	checked chan struct{}
-	endedAt time.Time
-	toLog   []quarantine.Fingerprint
+	// lostRequests are the requests whose connections broke recently; exitChecked is closed when the running exit check
+	// ends, nil if none runs. exitedAt is when an exit was detected, exitLogRequests the requests for its log line.
+	lostRequests    []lostRequest
+	exitChecked     chan struct{}
+	exitedAt        time.Time
+	exitLogRequests []quarantine.Fingerprint
 }
 
-// ticket is one request at a server, from its sending to its end.
+// inFlightRequest is one request at a server, from sending to completion.
 type ticket struct {
-	up        *upstream
-	prompt    int
-	sent      time.Time
-	predicted time.Duration
-	first     bool
-	done      bool
-	// move has the request go on elsewhere while its server works on; nil where it may not. abandon ends it there.
-	move    func()
-	abandon func(cause error)
-	// connected is when the connection was opened on which the request left; zero before.
+	up            *upstream
+	prompt        int
+	sent          time.Time
+	predicted     time.Duration
+	gotFirstEvent bool
+	done          bool
+	// moveAway continues the request at another server while this one still works on it, nil if not allowed; abort
+	// cancels it here.
+	move  func()
+	abort func(cause error)
+	// connected is when the connection of the request was opened; zero before the request has one.
 	connected time.Time
 }
 
-// take counts a request that is about to be sent, with the time until its first event as predicted; nil where the server's limit
-// leaves no room any more: another request has taken it since this one chose the server.
+// tryAcquire counts a request about to be sent, with the predicted time to its first event. It returns nil if other
+// requests have used up the server's limit since the server was chosen.
 func (u *upstream) take(prompt int, predicted time.Duration, entries int, now time.Time) *ticket {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -124,28 +128,27 @@
 	return t
 }
 
-// begun notes that the first event has come.
 func (t *ticket) begun(now time.Time) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
-	if !t.first {
-		t.up.learn(now.Sub(t.sent)-t.predicted, now)
+	if !t.gotFirstEvent {
+		t.up.observeLag(now.Sub(t.sent)-t.predicted, now)
 	}
-	t.begunLocked()
+	t.recordFirstEventLocked()
 }
 
-// begunLocked is begun with the server's mutex held.
-func (t *ticket) begunLocked() {
-	if t.first {
+// recordFirstEventLocked is recordFirstEvent with the server's mutex held.
+func (t *ticket) recordFirstEventLocked() {
+	if t.gotFirstEvent {
 		return
 	}
-	t.first = true
+	t.gotFirstEvent = true
 	t.up.reading--
 	t.up.unread -= t.prompt
 	t.up.pending = slices.DeleteFunc(t.up.pending, func(other *ticket) bool { return other == t })
 }
 
-// end notes that the request is no longer at the server.
+// release ends the accounting of the request; only the first call has an effect.
 func (t *ticket) end() {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
@@ -154,11 +157,12 @@
 	}
 	t.done = true
 	delete(t.up.tickets, t)
-	t.begunLocked()
+	t.recordFirstEventLocked()
 	t.up.inFlight--
 }
 
-// heard takes a report in, a limit in which is divided among so many entries; own requests are subtracted, so that what others do there remains.
+// applyReport applies a box's report; entries is the number of entries that share a limit in it. Own requests are
+// subtracted, which leaves those of other entries.
 func (u *upstream) heard(report link.Report, entries int, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -174,13 +178,13 @@
 	u.othersWriting = max(0, report.Running-(u.inFlight-u.reading))
 }
 
-// listed takes the server's entry on the list.
+// applyListing applies the server's entry in the list.
 func (u *upstream) listed(server view.Listed, weight float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.weight = weight
 	if contract.IsAnotherLife(server.Born, u.born) {
-		// The list lags: what it tells is the life that has ended, which is no longer what the server runs.
+		// The list lags: its loaded versions are those of the previous incarnation.
 		server.Loaded = nil
 	}
 	if !u.server.Equal(server.Server) {
@@ -193,7 +197,7 @@
 	}
 }
 
-// load returns what is believed to be at the server now; mu is held.
+// load estimates the current load of the server; mu is held.
 func (u *upstream) load(e *contract.Engine, now time.Time) engine.Load {
 	load := engine.Load{Writing: u.inFlight - u.reading, Reading: u.reading, Unread: u.unread}
 	if now.Sub(u.reportAt) < reportLife {
@@ -205,7 +209,7 @@
 	return load
 }
 
-// version returns the version of a model that the server is believed to run; mu is held.
+// version returns the version of a model that the server presumably runs; mu is held.
 func (u *upstream) version(model string, now time.Time) contract.Version {
 	if now.Sub(u.reportAt) < reportLife && u.report.Server == u.server.ID && (model == "" || u.report.Model == model) {
 		return contract.Version(u.report.Version)
@@ -213,49 +217,51 @@
 	return u.server.Runs(model)
 }
 
-// closing reports whether the server's box has said that it takes nothing new; mu is held.
+// closing reports whether the server's box has announced that it takes no new requests; mu is held.
 func (u *upstream) closing(now time.Time) bool {
 	return u.report.Closing && now.Sub(u.reportAt) < reportLife
 }
 
-// filled reports whether the server's box holds all pieces of the version that should run; mu is held.
+// filled reports whether the server's box holds all pieces of the target version; mu is held.
 func (u *upstream) filled(now time.Time) bool {
 	return u.report.Filled && now.Sub(u.reportAt) < reportLife
 }
 
-// silence returns what a server counts as more whose reports are late: its link may be jammed. mu is held.
+// reportDelay returns by how much reports are overdue. It is added to the server's cost, since the link may be
+// congested. mu is held.
 func (u *upstream) silence(now time.Time) time.Duration {
 	if u.reportAt.IsZero() {
 		return 0
 	}
-	return max(now.Sub(u.reportAt)-reportUsual, 0)
+	return max(now.Sub(u.reportAt)-usualReportAge, 0)
 }
 
-// learn takes by how much a first event came later than predicted; mu is held.
-func (u *upstream) learn(late time.Duration, now time.Time) {
+// observeLag adds the delay of one first event beyond its prediction to the lag; mu is held.
+func (u *upstream) observeLag(late time.Duration, now time.Time) {
 	faded := u.faded(now)
-	u.lag = faded + time.Duration(lagWeight*float64(max(late-lagUsual, 0)-faded))
+	u.lag = faded + time.Duration(lagWeight*float64(max(late-lagTolerance, 0)-faded))
 	u.lagAt = now
 }
 
-// faded returns the lag as it counts now; mu is held.
+// currentLag returns the decayed lag; mu is held.
 func (u *upstream) faded(now time.Time) time.Duration {
 	if u.lag <= 0 {
 		return 0
 	}
-	return time.Duration(float64(u.lag) * math.Exp2(-float64(now.Sub(u.lagAt))/float64(lagHalf)))
+	return time.Duration(float64(u.lag) * math.Exp2(-float64(now.Sub(u.lagAt))/float64(lagHalfLife)))
 }
 
-// stuck returns by how much the oldest request without a first event is overdue; mu is held.
+// oldestOverdue returns by how much the oldest outstanding first event is overdue; mu is held.
 func (u *upstream) stuck(now time.Time) time.Duration {
 	if len(u.pending) == 0 {
 		return 0
 	}
 	oldest := u.pending[0]
-	return max(now.Sub(oldest.sent)-oldest.predicted*3/2-stuckUsual, 0)
+	return max(now.Sub(oldest.sent)-oldest.predicted*3/2-overdueTolerance, 0)
 }
 
-// closes returns how soon the server takes nothing new, unknownTurn when its box has not told. mu is held.
+// closesIn returns the time until the server takes no new requests, unknownTurn if its box has not reported it; mu is
+// held.
 func (u *upstream) closes(now time.Time) time.Duration {
 	if u.report.Closes == 0 || now.Sub(u.reportAt) > reportLife {
 		return unknownTurn
@@ -263,7 +269,7 @@
 	return u.report.Closes - now.Sub(u.reportAt)
 }
 
-// failed notes a failure; after several in a row the server is ejected for the time returned.
+// recordFailure counts a failure and returns the length of the ejection that it causes, 0 for none.
 func (u *upstream) failed(now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -271,21 +277,21 @@
 	if u.failures < failuresToEject {
 		return 0
 	}
-	u.ejection = min(max(2*u.ejection, firstEjection), maxEjection)
+	u.ejection = min(max(2*u.ejection, minEjection), maxEjection)
 	u.ejectedUntil = now.Add(u.ejection)
 	return u.ejection
 }
 
-// silent notes that nothing came from the server for too long, which counts as all failures at once.
+// recordTimeout ejects a server that sent nothing for too long, and returns the length of the ejection.
 func (u *upstream) silent(now time.Time) time.Duration {
 	u.mu.Lock()
 	u.failures = max(u.failures, failuresToEject)
-	u.learn(minSilence, now)
+	u.observeLag(minSilence, now)
 	u.mu.Unlock()
 	return u.failed(now)
 }
 
-// unreachable notes that no connection came about, which counts as all failures at once.
+// recordUnreachable ejects a server to which no connection could be opened.
 func (u *upstream) unreachable(now time.Time) {
 	u.mu.Lock()
 	u.failures = max(u.failures, failuresToEject)
@@ -293,14 +299,14 @@
 	u.failed(now)
 }
 
-// deny notes that the server itself said that it is not what the list says.
+// recordMisdirected records that the server rejected a request which the list says it can run.
 func (u *upstream) deny(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.denied = now
 }
 
-// succeeded notes a request that went well: failures before it no longer count.
+// recordSuccess resets the failure count and ends an ejection.
 func (u *upstream) succeeded() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/forward/upstreams.go
+++ b/forward/upstreams.go
@@ -12,100 +12,100 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// upstreams are all servers that this entry may call.
+// upstreams holds all servers that this entry may call.
 type upstreams struct {
-	// weigh returns the servers that the entry keeps to, with for how many entries it stands there; nil has it keep to all.
-	weigh func(servers []view.Listed) map[string]float64
-	// sharers returns among how many entries a limit of a server is divided; nil for one.
+	// subsetWeights returns the weights of the servers in the entry's subset by ID; nil puts all servers into the
+	// subset.
+	subsetWeights func(servers []view.Listed) map[string]float64
+	// limitSharers returns the number of entries that share a server's limit; nil means one.
 	sharers func() int
 
 	mu   sync.RWMutex
 	byID map[string]*upstream
-	// kept are the servers of each service that the entry keeps to, others those that it does not.
-	kept   map[string][]*upstream
-	others map[string][]*upstream
-	// unlisted are servers that are no longer listed, by id, until when they are known.
-	unlisted map[string]unlisted
+	// The servers of each service inside and outside the entry's subset.
+	preferredByService map[string][]*upstream
+	fallbackByService  map[string][]*upstream
+	// unlisted holds the servers that were recently removed from the list, by ID.
+	unlisted map[string]unlistedServer
 }
 
-// unlistedLife is for how long a server that is no longer listed is known: its row may lapse while the store is away, and come back with
-// nothing of what the server has asked of its callers.
-const unlistedLife = time.Minute
+// unlistedTTL is how long a server removed from the list is remembered: its entry may lapse while the store is
+// unreachable, and come back without the server's pushback signals.
+const unlistedTTL = time.Minute
 
-// unlisted is a server that is no longer listed.
-type unlisted struct {
+// unlistedServer is a server that is no longer listed.
+type unlistedServer struct {
 	up    *upstream
 	until time.Time
 }
 
-// update takes the list of servers; those that stay keep what is known of them.
+// update applies the list of servers; servers that are still listed keep their state.
 func (us *upstreams) update(servers []view.Listed) {
 	var weights map[string]float64
-	if us.weigh != nil {
-		weights = us.weigh(servers)
+	if us.subsetWeights != nil {
+		weights = us.subsetWeights(servers)
 	}
 	us.mu.Lock()
 	defer us.mu.Unlock()
 	old := us.byID
 	us.byID = make(map[string]*upstream, len(servers))
-	us.kept, us.others = make(map[string][]*upstream), make(map[string][]*upstream)
+	us.preferredByService, us.fallbackByService = make(map[string][]*upstream), make(map[string][]*upstream)
 	for _, server := range servers {
 		up := cmp.Or(old[server.ID], us.unlisted[server.ID].up)
 		if up == nil {
 			up = &upstream{}
 		}
-		if up.hasEnded(server.Born) {
-			up.abandon()
+		if up.isReplacedBy(server.Born) {
+			up.abortInFlight()
 			up = &upstream{}
 		}
 		weight := 1.0
-		if us.weigh != nil {
+		if us.subsetWeights != nil {
 			weight = weights[server.ID]
 		}
 		up.listed(server, weight)
 		us.byID[server.ID] = up
 		us.add(up, server.Service, weight)
 	}
-	us.rememberUnlisted(old, clock.Now())
+	us.retainUnlisted(old, clock.Now())
 }
 
-// rememberUnlisted notes the servers that are no longer listed, and forgets those that have not been for long; mu is held.
-func (us *upstreams) rememberUnlisted(old map[string]*upstream, now time.Time) {
+// retainUnlisted remembers the servers that are no longer listed and drops expired ones; mu is held.
+func (us *upstreams) retainUnlisted(old map[string]*upstream, now time.Time) {
 	if us.unlisted == nil {
-		us.unlisted = make(map[string]unlisted)
+		us.unlisted = make(map[string]unlistedServer)
 	}
 	for id, up := range old {
 		if us.byID[id] == nil {
-			us.unlisted[id] = unlisted{up: up, until: now.Add(unlistedLife)}
+			us.unlisted[id] = unlistedServer{up: up, until: now.Add(unlistedTTL)}
 		}
 	}
-	maps.DeleteFunc(us.unlisted, func(id string, u unlisted) bool { return us.byID[id] != nil || now.After(u.until) })
+	maps.DeleteFunc(us.unlisted, func(id string, u unlistedServer) bool { return us.byID[id] != nil || now.After(u.until) })
 }
 
-// add files a server under its service; mu is held.
+// add adds a server to its service, inside or outside the subset; mu is held.
 func (us *upstreams) add(up *upstream, service string, weight float64) {
 	if weight > 0 {
-		us.kept[service] = append(us.kept[service], up)
+		us.preferredByService[service] = append(us.preferredByService[service], up)
 	} else {
-		us.others[service] = append(us.others[service], up)
+		us.fallbackByService[service] = append(us.fallbackByService[service], up)
 	}
 }
 
-// of returns the servers of a service that the entry keeps to.
+// preferred returns the servers of a service in the entry's subset.
 func (us *upstreams) of(service string) []*upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
-	return us.kept[service]
+	return us.preferredByService[service]
 }
 
-// besides returns the servers of a service that the entry does not keep to.
+// fallback returns the servers of a service outside the entry's subset.
 func (us *upstreams) besides(service string) []*upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
-	return us.others[service]
+	return us.fallbackByService[service]
 }
 
-// all returns all servers.
 func (us *upstreams) all() []*upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
@@ -116,17 +116,17 @@
 	return all
 }
 
-// heard takes a report of a server's box.
+// applyReport applies the report of a server's box; reports of an older incarnation are ignored.
 func (us *upstreams) heard(report link.Report, now time.Time) {
 	up := us.byServer(report.Server)
 	if up == nil {
 		return
 	}
-	switch up.lifeOf(report.Born) {
-	case lifeEnded:
+	switch up.compareIncarnation(report.Born) {
+	case olderIncarnation:
 		return
-	case lifeNew:
-		up = us.restart(up, report.Born)
+	case newerIncarnation:
+		up = us.replaceRestarted(up, report.Born)
 	}
 	entries := 1
 	if us.sharers != nil {
@@ -136,24 +136,24 @@
 	reportsTaken.Inc()
 }
 
-// restart puts a new life of a server in the place of the one that has ended, before the list tells of it.
-func (us *upstreams) restart(old *upstream, born int64) *upstream {
+// replaceRestarted replaces a restarted server by its new incarnation before the list shows it.
+func (us *upstreams) replaceRestarted(old *upstream, born int64) *upstream {
 	us.mu.Lock()
 	defer us.mu.Unlock()
 	up := old.successor(born)
 	us.byID[up.server.ID] = up
-	for _, of := range []map[string][]*upstream{us.kept, us.others} {
-		ups := slices.Clone(of[up.server.Service])
+	for _, byService := range []map[string][]*upstream{us.preferredByService, us.fallbackByService} {
+		ups := slices.Clone(byService[up.server.Service])
 		if i := slices.Index(ups, old); i >= 0 {
 			ups[i] = up
-			of[up.server.Service] = ups
+			byService[up.server.Service] = ups
 		}
 	}
-	old.abandon()
+	old.abortInFlight()
 	return up
 }
 
-// byServer returns a server by its id; nil when it is not known.
+// byServer returns the server with an ID; nil if it is unknown.
 func (us *upstreams) byServer(id string) *upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
--- a/forward/way.go
+++ b/forward/way.go
@@ -9,61 +9,60 @@
 )
 
 const (
-	// wayEvery is how often the way to a server is measured whose box still takes pieces of a version that is soon due;
-	// wayLife is how long the latest measurement counts, wayRecent how many count together.
-	wayEvery  = 300 * time.Millisecond
-	wayLife   = 1200 * time.Millisecond
-	wayLimit  = 4 * time.Second
-	wayRecent = 7
-	// wayQuick is the longest way of a link that carries pieces as it should; on one that is slower the next pieces may hold
-	// a request up by seconds.
-	wayQuick = 100 * time.Millisecond
+	// Round trips are measured every rttInterval while a box fetches a version whose deadline is near. Samples are valid
+	// for rttTTL, a probe fails after rttTimeout, and rttSamples are considered together.
+	rttInterval = 300 * time.Millisecond
+	rttTTL      = 1200 * time.Millisecond
+	rttTimeout  = 4 * time.Second
+	rttSamples  = 7
+	// maxLowRTT is the longest round trip of an uncongested link; on a slower one, chunks may delay a request by
+	// seconds.
+	maxLowRTT = 100 * time.Millisecond
 )
 
-// way is how long the way to a server and back took, the latest few times.
+// rttWindow holds the latest round-trip times of the link to a server's box.
 type way struct {
-	took [wayRecent]time.Duration
-	n    int
-	at   time.Time
-	// asked is when the measurement that has not come back yet began; zero when there is none.
-	asked time.Time
+	samples   [rttSamples]time.Duration
+	count     int
+	sampledAt time.Time
+	// probeSentAt is when the outstanding probe was sent; zero if there is none.
+	probeSentAt time.Time
 }
 
-// quick reports whether the way was quick each time of late, and is not being waited for now.
+// isLow reports whether all recent round trips were short and no probe is overdue.
 func (w way) quick(now time.Time) bool {
-	if w.n == 0 || now.Sub(w.at) > wayLife || !w.asked.IsZero() && now.Sub(w.asked) > wayQuick {
+	if w.count == 0 || now.Sub(w.sampledAt) > rttTTL || !w.probeSentAt.IsZero() && now.Sub(w.probeSentAt) > maxLowRTT {
 		return false
 	}
-	return slices.Max(w.took[:]) < wayQuick
+	return slices.Max(w.samples[:]) < maxLowRTT
 }
 
-// held returns how long the way holds a request up now, as far as it is measured; a quick way does not.
+// delay returns the current delay of the link, 0 while it is uncongested or not measured.
 func (w way) held(now time.Time) time.Duration {
-	var took time.Duration
-	if w.n > 0 && now.Sub(w.at) < wayLife {
-		took = w.took[(w.n-1)%wayRecent]
+	var delay time.Duration
+	if w.count > 0 && now.Sub(w.sampledAt) < rttTTL {
+		delay = w.samples[(w.count-1)%rttSamples]
 	}
-	if !w.asked.IsZero() {
-		took = max(took, now.Sub(w.asked))
+	if !w.probeSentAt.IsZero() {
+		delay = max(delay, now.Sub(w.probeSentAt))
 	}
-	if took < wayQuick {
+	if delay < maxLowRTT {
 		return 0
 	}
-	return took
+	return delay
 }
 
-// with returns the way with one more measurement.
-func (w way) with(took time.Duration, at time.Time) way {
-	w.took[w.n%wayRecent] = took
-	w.n++
-	w.at, w.asked = at, time.Time{}
+func (w way) withSample(sample time.Duration, at time.Time) way {
+	w.samples[w.count%rttSamples] = sample
+	w.count++
+	w.sampledAt, w.probeSentAt = at, time.Time{}
 	return w
 }
 
-// measureWays measures the ways to servers whose boxes take pieces of a version that is due, until ctx ends: what jams such
-// a link holds requests up, so that they might begin after the bound.
-func (rs *reports) measureWays(ctx context.Context) error {
-	ticker := time.NewTicker(wayEvery)
+// measureRTTs measures round trips to boxes that fetch a new version, until ctx ends: a congested link might delay a
+// request past the deadline of the server's current version.
+func (bl *boxLinks) measureRTTs(ctx context.Context) error {
+	ticker := time.NewTicker(rttInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -71,28 +70,28 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		for l, up := range rs.filling(clock.Now()) {
-			go rs.measure(ctx, l, up)
+		for l, up := range bl.linksToMeasure(clock.Now()) {
+			go bl.measureRTT(ctx, l, up)
 		}
 	}
 }
 
-// filling returns the links to boxes whose way is to be measured, with their servers, and marks them as being measured.
-func (rs *reports) filling(now time.Time) map[*reportLink]*upstream {
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	links := make(map[*reportLink]*upstream)
-	for _, l := range rs.conns {
-		if up := rs.entry.upstreams.byServer(l.server); up != nil && !l.asking && rs.entry.behind(up, now) {
-			l.asking = true
+// linksToMeasure returns the links to measure with their servers, and marks them as being measured.
+func (bl *boxLinks) linksToMeasure(now time.Time) map[*boxLink]*upstream {
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	links := make(map[*boxLink]*upstream)
+	for _, l := range bl.links {
+		if up := bl.entry.upstreams.byServer(l.server); up != nil && !l.measuring && bl.entry.isFetchingUpdate(up, now) {
+			l.measuring = true
 			links[l] = up
 		}
 	}
 	return links
 }
 
-// behind reports whether a server runs an older version while its box takes the pieces of a newer one.
-func (e *Entry) behind(up *upstream, now time.Time) bool {
+// isFetchingUpdate reports whether a server runs an outdated version while its box fetches the pieces of a newer one.
+func (e *Entry) isFetchingUpdate(up *upstream, now time.Time) bool {
 	up.mu.Lock()
 	model, version, filled := up.report.Model, up.version("", now), up.filled(now)
 	up.mu.Unlock()
@@ -103,23 +102,22 @@
 	return older
 }
 
-func (rs *reports) measure(ctx context.Context, l *reportLink, up *upstream) {
-	began := clock.Now()
-	up.setWay(func(w *way) { w.asked = began })
-	ctx, cancel := context.WithTimeout(ctx, wayLimit)
+func (bl *boxLinks) measureRTT(ctx context.Context, l *boxLink, up *upstream) {
+	sent := clock.Now()
+	up.updateRTT(func(w *way) { w.probeSentAt = sent })
+	ctx, cancel := context.WithTimeout(ctx, rttTimeout)
 	defer cancel()
-	took, err := l.conn.RoundTrip(ctx)
+	rtt, err := l.conn.RoundTrip(ctx)
 	if err != nil {
-		took = clock.Since(began)
+		rtt = clock.Since(sent)
 	}
-	up.setWay(func(w *way) { *w = w.with(took, clock.Now()) })
-	rs.mu.Lock()
-	defer rs.mu.Unlock()
-	l.asking = false
+	up.updateRTT(func(w *way) { *w = w.withSample(rtt, clock.Now()) })
+	bl.mu.Lock()
+	defer bl.mu.Unlock()
+	l.measuring = false
 }
 
-// setWay changes what is known of the way to the server.
-func (u *upstream) setWay(change func(w *way)) {
+func (u *upstream) updateRTT(change func(w *way)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	change(&u.way)
--- a/forward/way_test.go
+++ b/forward/way_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestMarginFollowsTheWay(t *testing.T) {
-	ways := func(ago time.Duration, took ...time.Duration) func(now time.Time) way {
+	window := func(ago time.Duration, samples ...time.Duration) func(now time.Time) way {
 		return func(now time.Time) way {
 			w := way{}
-			for _, one := range took {
-				w = w.with(one*time.Millisecond, now.Add(-ago))
+			for _, sample := range samples {
+				w = w.withSample(sample*time.Millisecond, now.Add(-ago))
 			}
 			return w
 		}
@@ -22,15 +22,15 @@
 		way     func(now time.Time) way
 		overdue bool
 	}{
-		"filled":                           {true, ways(0), false},
-		"not filled, the way not measured": {false, ways(0), true},
-		"a quick way":                      {false, ways(0, 20, 30), false},
-		"one that was slow a moment ago":   {false, ways(0, 300, 20, 20), true},
-		"one that was slow long ago":       {false, ways(0, 300, 20, 20, 20, 20, 20, 20, 20), false},
-		"measured long ago":                {false, ways(time.Minute, 20), true},
-		"one that has not come back": {false, func(now time.Time) way {
-			w := ways(0, 20)(now)
-			w.asked = now.Add(-time.Second)
+		"all pieces held":              {true, window(0), false},
+		"pieces missing, not measured": {false, window(0), true},
+		"low RTT":                      {false, window(0, 20, 30), false},
+		"recent high RTT":              {false, window(0, 300, 20, 20), true},
+		"older high RTT":               {false, window(0, 300, 20, 20, 20, 20, 20, 20, 20), false},
+		"expired samples":              {false, window(time.Minute, 20), true},
+		"overdue probe": {false, func(now time.Time) way {
+			w := window(0, 20)(now)
+			w.probeSentAt = now.Add(-time.Second)
 			return w
 		}, true},
 	} {
@@ -48,28 +48,28 @@
 	}
 }
 
-func TestHeldByTheWay(t *testing.T) {
+func TestRTTDelay(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
-		way         way
-		least, most time.Duration
+		way      way
+		min, max time.Duration
 	}{
-		"not measured":             {way{}, 0, 0},
-		"quick":                    {way{}.with(30*time.Millisecond, now), 0, 0},
-		"slow":                     {way{}.with(700*time.Millisecond, now), 700 * time.Millisecond, 700 * time.Millisecond},
-		"slow, but long ago":       {way{}.with(700*time.Millisecond, now.Add(-time.Minute)), 0, 0},
-		"quick, and now held":      {way{at: now, n: 1, asked: now.Add(-2 * time.Second)}, 2 * time.Second, 2 * time.Second},
-		"held since the beginning": {way{asked: now.Add(-3 * time.Second)}, 3 * time.Second, 3 * time.Second},
+		"not measured":           {way{}, 0, 0},
+		"low RTT":                {way{}.withSample(30*time.Millisecond, now), 0, 0},
+		"high RTT":               {way{}.withSample(700*time.Millisecond, now), 700 * time.Millisecond, 700 * time.Millisecond},
+		"high RTT, expired":      {way{}.withSample(700*time.Millisecond, now.Add(-time.Minute)), 0, 0},
+		"low RTT, probe overdue": {way{sampledAt: now, count: 1, probeSentAt: now.Add(-2 * time.Second)}, 2 * time.Second, 2 * time.Second},
+		"first probe overdue":    {way{probeSentAt: now.Add(-3 * time.Second)}, 3 * time.Second, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := test.way.held(now); got < test.least || got > test.most {
-				t.Errorf("held for %s, want %s to %s", got, test.least, test.most)
+			if got := test.way.held(now); got < test.min || got > test.max {
+				t.Errorf("delay %s, want %s to %s", got, test.min, test.max)
 			}
 		})
 	}
 }
 
-func TestAJammedServerGetsNothingNearTheBound(t *testing.T) {
+func TestCongestedServerGetsNoRequestNearDeadline(t *testing.T) {
 	w := newEngineWorld(t, "127.0.0.1:1")
 	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, 0)
 	due, _ := w.entry.cfg.View.Due(engineModel, 1)
@@ -78,10 +78,10 @@
 	want := wanted{service: w.entry.cfg.View.Config().Service("s"), model: engineModel, prompt: 100}
 	up.reportAt = now
 	if _, ok := w.entry.choose(want, now); !ok {
-		t.Fatal("a server gets nothing 3.2 s before the bound")
+		t.Fatal("no server chosen 3.2 s before the deadline")
 	}
-	up.way.asked = now.Add(-time.Second)
+	up.way.probeSentAt = now.Add(-time.Second)
 	if _, ok := w.entry.choose(want, now); ok {
-		t.Error("a server to which the way is held up for a second gets a request 3.2 s before the bound")
+		t.Error("server behind a link delayed by 1 s chosen 3.2 s before the deadline")
 	}
 }
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -8,23 +8,23 @@
 	"github.com/coralstair/coralstair/pushback"
 )
 
-// Ask is what the head of a caller's request tells.
+// Ask holds what the head of a caller's request says.
 type Ask struct {
 	ID  string
 	Key string
-	// Wait is how long the caller waits; 0 when it does not say.
+	// Timeout is how long the caller waits; 0 if unset.
 	Wait  time.Duration
 	Model string
-	// Prompt and Answer are the tokens of the prompt and at most of the answer; 0 when not told.
+	// PromptTokens is the length of the prompt and MaxAnswerTokens the limit of the answer; 0 if unset.
 	Prompt int
 	Answer int
-	// Hint is the caller's guess of the tokens of the answer; 0 when there is none.
+	// AnswerTokensHint is the caller's estimate of the answer's length; 0 if unset.
 	Hint int
-	// LastEvent is the last event of the stream that the caller already has.
+	// LastEvent is the ID of the last stream event that the caller has.
 	LastEvent string
 }
 
-// answer returns the best guess of the tokens of the answer; 0 when there is none.
+// answer returns the best estimate of the answer's length in tokens; 0 if there is none.
 func (a Ask) answer() int {
 	if a.Hint > 0 && (a.Answer == 0 || a.Hint < a.Answer) {
 		return a.Hint
@@ -32,38 +32,38 @@
 	return a.Answer
 }
 
-// Send is what one attempt tells the server beside the caller's own request.
+// Send holds what an attempt tells the server in addition to the caller's request.
 type Send struct {
 	Left   time.Duration
 	Server string
 	Team   string
-	// Version is that which the server has to run; 0 for any.
+	// Version is the version that the server must run; 0 for any.
 	Version   contract.Version
 	Priority  int
 	LastEvent string
 }
 
-// Reply is what the head of a server's answer tells.
+// Reply holds what the head of a server's response says.
 type Reply struct {
 	ID     string
 	Sealed bool
-	// NotRun says that the server did not run the request and never will.
+	// NotRun is set if the server did not run the request and never will.
 	NotRun  bool
 	Version contract.Version
-	// KeepAlive is how long the server keeps the connection idle; 0 when it does not say.
+	// KeepAlive is how long the server keeps the connection open while idle; 0 if unset.
 	KeepAlive time.Duration
-	// Pushback is what the server asks of its callers.
+	// Pushback is the server's signal to its callers.
 	Pushback pushback.Word
 }
 
-// Wire translates between the headers of callers and servers and the product.
+// Wire translates between the headers of callers and servers and the types of this package.
 type Wire interface {
 	Ask(r *http.Request) Ask
-	// Outgoing sets what Send tells in a header that was the caller's, and takes out what servers must not see.
-	Outgoing(header http.Header, send Send)
+	// SetRequestHeaders sets the headers of an attempt in a copy of the caller's header, and removes those that servers must not see.
+	Outgoing(header http.Header, info Send)
 	Reply(resp *http.Response) Reply
-	// Refused sets the head of an answer of the entry's own; after is when to come back, 0 for no advice.
+	// SetRefusalHeaders sets the headers of the entry's own response; after is the Retry-After, 0 for none.
 	Refused(header http.Header, id string, after time.Duration)
-	// EventVersion returns the version at which an event of a stream changes; ok is false when it does not.
+	// EventVersion returns the version that a stream event announces; ok is false if it announces none.
 	EventVersion(event []byte) (version contract.Version, ok bool)
 }
