--- a/settings/daemon.go
+++ b/settings/daemon.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Daemon is what all daemons are told of themselves.
+// Daemon holds the settings common to all daemons.
 type Daemon struct {
 	ID        string
 	Fleet     string
@@ -15,11 +15,11 @@
 	LogLevel  string
 	LogFormat string
 	OTLPURL   string
-	// DrainLimit is how long a planned stop waits for the requests in progress.
+	// DrainLimit is how long a planned stop waits for requests in progress.
 	DrainLimit time.Duration
 }
 
-// Platform addresses the platform's services.
+// Platform holds the addresses and credentials of the platform's services.
 type Platform struct {
 	TableURL     string
 	Table        string
@@ -33,7 +33,7 @@
 	ListInterval time.Duration
 }
 
-// Box is the settings of a box daemon.
+// Box holds the settings of a box daemon.
 type Box struct {
 	Daemon       Daemon
 	Platform     Platform
@@ -48,7 +48,7 @@
 	LinkRate     int64
 }
 
-// Entry is the settings of an entry daemon.
+// Entry holds the settings of an entry daemon.
 type Entry struct {
 	Daemon    Daemon
 	Platform  Platform
@@ -58,13 +58,12 @@
 	BodyLimit int64
 }
 
-// Bounds of counts.
 const (
 	maxSlots = 100000
 	maxQueue = 1000000
 )
 
-// LoadBox reads and checks the settings of a box; the error lists all that is wrong.
+// LoadBox reads and validates the settings of a box. The error is a *FaultsError.
 func LoadBox(path string) (Box, error) {
 	var box Box
 	faults := load(path, box.keys())
@@ -72,19 +71,19 @@
 	if box.Advertise == "" {
 		box.Advertise = box.Daemon.Listen
 	}
-	if host, _, err := net.SplitHostPort(box.Advertise); err == nil && unspecified(host) {
+	if host, _, err := net.SplitHostPort(box.Advertise); err == nil && isUnspecified(host) {
 		faults = append(faults, &Fault{
 			File: path, Section: "box", Key: "advertise",
-			Reason: "must be set, since listen names no single address",
+			Reason: "must be set because listen has no specific host address",
 		})
 	}
 	if box.Kind == "plain" && box.WeightsLimit > 0 {
-		faults = append(faults, &Fault{File: path, Section: "box", Key: "weights-limit", Reason: "contradicts kind = plain, which holds no weights"})
+		faults = append(faults, &Fault{File: path, Section: "box", Key: "weights-limit", Reason: "must not be set with kind = plain, which has no weights"})
 	}
 	return box, faultsOrNil(faults)
 }
 
-// LoadEntry reads and checks the settings of an entry; the error lists all that is wrong.
+// LoadEntry reads and validates the settings of an entry. The error is a *FaultsError.
 func LoadEntry(path string) (Entry, error) {
 	var entry Entry
 	faults := load(path, entry.keys())
@@ -92,12 +91,12 @@
 	return entry, faultsOrNil(faults)
 }
 
-// WriteExample writes the example file of a role.
+// WriteExample writes an example settings file for a role.
 func WriteExample(w io.Writer, role Role) error {
 	if role == RoleBox {
-		return example(w, role, new(Box).keys())
+		return writeExampleFile(w, role, new(Box).keys())
 	}
-	return example(w, role, new(Entry).keys())
+	return writeExampleFile(w, role, new(Entry).keys())
 }
 
 func (b *Box) keys() []key {
@@ -110,8 +109,8 @@
 		choiceKey("box", "checks-fences", "yes", "Whether the upstream refuses orders with an older fence: yes or no.", []string{"yes", "no"}, &b.ChecksFences),
 		choiceKey("box", "resumes", "no", "Whether the engine goes on with a broken-off stream after the events named in X-Resume-Events: yes or no.", []string{"yes", "no"}, &b.Resumes),
 		optional(countKey("box", "slots", "64", "Requests that the upstream takes at a time; else the entries decide.", 1, maxSlots, &b.Slots)),
-		optional(exampled("80GiB", bytesKey("box", "weights-limit", "", "Memory for held weights, such as 80GiB; else no limit.", &b.WeightsLimit))),
-		optional(exampled("12MB", bytesKey("box", "link-rate", "", "Bytes a second that the box's link carries, in and out together, so that chunks leave room for requests; else they are not paced.", &b.LinkRate))),
+		optional(withExample("80GiB", bytesKey("box", "weights-limit", "", "Memory for held weights, such as 80GiB; else no limit.", &b.WeightsLimit))),
+		optional(withExample("12MB", bytesKey("box", "link-rate", "", "Bytes a second that the box's link carries, in and out together, so that chunks leave room for requests; else they are not paced.", &b.LinkRate))),
 	)
 }
 
@@ -161,14 +160,14 @@
 		p.Secret = secret
 		return nil
 	}
-	reason := "holds no secret"
+	reason := "contains no secret"
 	if err != nil {
 		reason = err.Error()
 	}
 	return []*Fault{{File: path, Section: "platform", Key: "secret-file", Reason: reason}}
 }
 
-func unspecified(host string) bool {
+func isUnspecified(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "" || (ip != nil && ip.IsUnspecified())
 }
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings reads the daemons' INI files into typed values and checks
-// them whole before anything starts: all that is wrong is listed together.
+// Package settings reads and validates the daemons' INI files and reports all
+// errors of a file at once.
 package settings
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -5,28 +5,28 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
 	File, Section, Key string
 	Reason             string
 }
 
-// Error names file, section and key.
+// Error returns the file, section, key and reason.
 func (f *Fault) Error() string {
-	place := f.File
+	location := f.File
 	if f.Section != "" {
-		place += " [" + f.Section + "]"
+		location += " [" + f.Section + "]"
 	}
 	if f.Key != "" {
-		place += " " + f.Key
+		location += " " + f.Key
 	}
-	return fmt.Sprintf("%s: %s", place, f.Reason)
+	return fmt.Sprintf("%s: %s", location, f.Reason)
 }
 
-// FaultsError lists all that is wrong with a settings file.
+// FaultsError holds all errors of a settings file.
 type FaultsError struct{ Faults []*Fault }
 
-// Error lists the faults, a line each.
+// Error returns the faults, one per line.
 func (e *FaultsError) Error() string {
 	lines := make([]string, len(e.Faults))
 	for i, fault := range e.Faults {
@@ -35,7 +35,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Unwrap returns the faults.
+// Unwrap returns the faults as errors.
 func (e *FaultsError) Unwrap() []error {
 	errs := make([]error, len(e.Faults))
 	for i, fault := range e.Faults {
--- a/settings/key.go
+++ b/settings/key.go
@@ -13,20 +13,21 @@
 	"github.com/dustin/go-humanize"
 )
 
-// key describes one key of a settings file and how its value is taken.
+// key describes one key of a settings file.
 type key struct {
 	section, name string
-	// value is the default; a key without one must be set unless it is optional.
-	value    string
-	optional bool
-	// example stands in the example file in place of the default.
+	// defaultValue applies if the key is not set; a key without a default is mandatory unless it is optional.
+	defaultValue string
+	optional     bool
+	// example is the value in the example file if there is no default.
 	example string
 	help    string
-	set     func(text string) error
+	// set parses the value and stores it in the settings struct.
+	set func(text string) error
 }
 
-func textKey(section, name, value, help string, target *string) key {
-	return key{section: section, name: name, value: value, help: help, set: func(text string) error {
+func textKey(section, name, defaultValue, help string, target *string) key {
+	return key{section: section, name: name, defaultValue: defaultValue, help: help, set: func(text string) error {
 		*target = text
 		return nil
 	}}
@@ -35,15 +36,15 @@
 func nameKey(section, name, example, help string, target *string) key {
 	return key{section: section, name: name, example: example, help: help, set: func(text string) error {
 		if strings.ContainsAny(text, "#/ \t") {
-			return fmt.Errorf("%q is no name: it contains #, / or a space", text)
+			return fmt.Errorf("%q is not a valid name: it contains #, / or a space", text)
 		}
 		*target = text
 		return nil
 	}}
 }
 
-func choiceKey(section, name, value, help string, choices []string, target *string) key {
-	return key{section: section, name: name, value: value, help: help, set: func(text string) error {
+func choiceKey(section, name, defaultValue, help string, choices []string, target *string) key {
+	return key{section: section, name: name, defaultValue: defaultValue, help: help, set: func(text string) error {
 		if !slices.Contains(choices, text) {
 			return fmt.Errorf("%q is not one of %s", text, strings.Join(choices, ", "))
 		}
@@ -52,8 +53,8 @@
 	}}
 }
 
-func countKey(section, name, value, help string, low, high int, target *int) key {
-	return key{section: section, name: name, value: value, help: help, set: func(text string) error {
+func countKey(section, name, defaultValue, help string, low, high int, target *int) key {
+	return key{section: section, name: name, defaultValue: defaultValue, help: help, set: func(text string) error {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < low || n > high {
 			return fmt.Errorf("%q is not a number from %d to %d", text, low, high)
@@ -63,8 +64,8 @@
 	}}
 }
 
-func bytesKey(section, name, value, help string, target *int64) key {
-	return key{section: section, name: name, value: value, help: help, set: func(text string) error {
+func bytesKey(section, name, defaultValue, help string, target *int64) key {
+	return key{section: section, name: name, defaultValue: defaultValue, help: help, set: func(text string) error {
 		n, err := humanize.ParseBytes(text)
 		if err != nil {
 			return fmt.Errorf("%q is not a size such as 512MiB", text)
@@ -74,8 +75,8 @@
 	}}
 }
 
-func durationKey(section, name, value, help string, target *time.Duration) key {
-	return key{section: section, name: name, value: value, help: help, set: func(text string) error {
+func durationKey(section, name, defaultValue, help string, target *time.Duration) key {
+	return key{section: section, name: name, defaultValue: defaultValue, help: help, set: func(text string) error {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 {
 			return fmt.Errorf("%q is not a duration such as 10s or 5m", text)
@@ -92,7 +93,7 @@
 			return fmt.Errorf("%q is not an address such as 10.0.0.7:7400", text)
 		}
 		if host != "" && net.ParseIP(host) == nil {
-			return fmt.Errorf("%q is not an IP number", host)
+			return fmt.Errorf("%q is not an IP address", host)
 		}
 		*target = text
 		return nil
@@ -129,8 +130,8 @@
 	return k
 }
 
-// exampled gives a key the value that stands in the example file.
-func exampled(example string, k key) key {
+// withExample sets the value in the example file.
+func withExample(example string, k key) key {
 	k.example = example
 	return k
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -10,35 +10,36 @@
 	"gopkg.in/ini.v1"
 )
 
-// secretLimit is the longest secret file, in bytes.
-const secretLimit = 4 << 10
+// maxSecretBytes limits how much of a secret file is read; the rest is ignored.
+const maxSecretBytes = 4 << 10
 
-// Role says whose settings a file holds.
+// Role is the kind of daemon that a settings file is for.
 type Role string
 
-// The roles with settings of their own.
+// Roles that have a settings file.
 const (
 	RoleEntry Role = "entry"
 	RoleBox   Role = "box"
 )
 
-// load reads a file into what the keys point to, and returns all that is wrong.
+// load reads a file, sets the value of each key and returns all faults.
 func load(path string, keys []key) []*Fault {
 	file, err := ini.LoadSources(ini.LoadOptions{IgnoreInlineComment: true}, path)
 	if err != nil {
 		return []*Fault{{File: path, Reason: err.Error()}}
 	}
-	faults := unknown(path, file, keys)
+	faults := findUnknown(path, file, keys)
 	for _, k := range keys {
-		if fault := take(path, file, k); fault != nil {
+		if fault := applyKey(path, file, k); fault != nil {
 			faults = append(faults, fault)
 		}
 	}
 	return faults
 }
 
-func take(path string, file *ini.File, k key) *Fault {
-	text := k.value
+// applyKey sets the value of k from the file or its default.
+func applyKey(path string, file *ini.File, k key) *Fault {
+	text := k.defaultValue
 	section := file.Section(k.section)
 	set := section.HasKey(k.name)
 	if set {
@@ -56,7 +57,8 @@
 	return nil
 }
 
-func unknown(path string, file *ini.File, keys []key) []*Fault {
+// findUnknown returns a fault for each unknown section and key.
+func findUnknown(path string, file *ini.File, keys []key) []*Fault {
 	var faults []*Fault
 	for _, section := range file.Sections() {
 		known := slices.ContainsFunc(keys, func(k key) bool { return k.section == section.Name() })
@@ -65,7 +67,7 @@
 			continue
 		}
 		for _, k := range section.Keys() {
-			if !slices.ContainsFunc(keys, func(each key) bool { return each.section == section.Name() && each.name == k.Name() }) {
+			if !slices.ContainsFunc(keys, func(other key) bool { return other.section == section.Name() && other.name == k.Name() }) {
 				faults = append(faults, &Fault{File: path, Section: section.Name(), Key: k.Name(), Reason: "is no key of this section"})
 			}
 		}
@@ -73,8 +75,8 @@
 	return faults
 }
 
-// example writes an example file with every key, its default and its meaning.
-func example(w io.Writer, role Role, keys []key) error {
+// writeExampleFile writes every key with its help text and its default or example.
+func writeExampleFile(w io.Writer, role Role, keys []key) error {
 	if _, err := fmt.Fprintf(w, "# Settings of a coralstair %s: every key, with its default or an example.\n", role); err != nil {
 		return err
 	}
@@ -93,17 +95,17 @@
 	return nil
 }
 
-// exampleLines returns the key's lines in an example file.
+// exampleLines returns the key's help comment and assignment.
 func (k key) exampleLines() string {
-	need := "Must be set."
-	if k.value != "" {
-		need = "Default: " + k.value + "."
+	requirement := "Must be set."
+	if k.defaultValue != "" {
+		requirement = "Default: " + k.defaultValue + "."
 	}
 	if k.optional {
-		need = "May be left out."
+		requirement = "May be left out."
 	}
-	text := fmt.Sprintf("# %s %s\n", k.help, need)
-	value := k.value
+	text := fmt.Sprintf("# %s %s\n", k.help, requirement)
+	value := k.defaultValue
 	if value == "" {
 		value = k.example
 	}
@@ -113,14 +115,14 @@
 	return text + fmt.Sprintf("%s = %s\n", k.name, value)
 }
 
-// readSecret reads a secret from its file, without the line end.
+// readSecret returns the content of a secret file without trailing line breaks.
 func readSecret(path string) (string, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = f.Close() }()
-	data, err := io.ReadAll(io.LimitReader(f, secretLimit))
+	data, err := io.ReadAll(io.LimitReader(f, maxSecretBytes))
 	if err != nil {
 		return "", err
 	}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// goodBox and goodEntry hold every key that must be set.
-func goodBox(dir string) map[string]string {
+// validBox returns the mandatory settings of a box.
+func validBox(dir string) map[string]string {
 	return map[string]string{
 		"daemon.id": "box-1", "daemon.fleet": "f", "daemon.site": "s", "daemon.listen": "127.0.0.1:7400",
 		"platform.table-url": "http://127.0.0.1:1/table", "platform.object-url": "http://127.0.0.1:1/objects",
@@ -20,8 +20,8 @@
 	}
 }
 
-func goodEntry(dir string) map[string]string {
-	values := goodBox(dir)
+func validEntry(dir string) map[string]string {
+	values := validBox(dir)
 	delete(values, "box.service")
 	delete(values, "box.upstream-url")
 	values["entry.keys-file"] = filepath.Join(dir, "secret")
@@ -55,7 +55,7 @@
 	return dir
 }
 
-// TestKeys sets each key to good and bad values; a bad one must be named with section and key.
+// TestKeys checks that each key accepts valid values and reports invalid ones with section and key.
 func TestKeys(t *testing.T) {
 	urls := map[string]bool{"http://10.0.0.2:8000/x": true, "https://h": true, "ftp://h": false, "10.0.0.2": false}
 	durations := map[string]bool{"2s": true, "5m": true, "0s": false, "soon": false, "3": false}
@@ -95,12 +95,12 @@
 		"entry.deadline":         {false, durations},
 		"entry.body-limit":       {false, map[string]bool{"1MiB": true, "x": false}},
 	} {
-		for value, good := range tc.values {
+		for value, valid := range tc.values {
 			t.Run(name+"="+value, func(t *testing.T) {
 				dir := testDir(t)
-				values := goodEntry(dir)
+				values := validEntry(dir)
 				if tc.box {
-					values = goodBox(dir)
+					values = validBox(dir)
 				}
 				values[name] = value
 				path := writeFile(t, dir, values)
@@ -110,12 +110,12 @@
 				} else {
 					_, err = LoadEntry(path)
 				}
-				if good && err != nil {
-					t.Fatalf("good value refused: %v", err)
+				if valid && err != nil {
+					t.Fatalf("valid value rejected: %v", err)
 				}
 				section, key, _ := strings.Cut(name, ".")
-				if !good && !hasFault(err, section, key) {
-					t.Errorf("error %v names no fault of [%s] %s", err, section, key)
+				if !valid && !hasFault(err, section, key) {
+					t.Errorf("error %v does not report [%s] %s", err, section, key)
 				}
 			})
 		}
@@ -135,9 +135,9 @@
 	return false
 }
 
-func TestAllFaultsListedTogether(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	dir := testDir(t)
-	values := goodBox(dir)
+	values := validBox(dir)
 	delete(values, "daemon.id")
 	values["daemon.colour"] = "red"
 	values["box.slots"] = "none"
@@ -145,16 +145,16 @@
 	values["box.weights-limit"] = "1GiB"
 	values["wall.paper"] = "yes"
 	_, err := LoadBox(writeFile(t, dir, values))
-	for _, place := range [][2]string{{"daemon", "id"}, {"daemon", "colour"}, {"box", "slots"}, {"box", "weights-limit"}, {"wall", ""}} {
-		if !hasFault(err, place[0], place[1]) {
-			t.Errorf("no fault of [%s] %s in:\n%v", place[0], place[1], err)
+	for _, want := range [][2]string{{"daemon", "id"}, {"daemon", "colour"}, {"box", "slots"}, {"box", "weights-limit"}, {"wall", ""}} {
+		if !hasFault(err, want[0], want[1]) {
+			t.Errorf("fault of [%s] %s missing in:\n%v", want[0], want[1], err)
 		}
 	}
 }
 
-func TestValuesTaken(t *testing.T) {
+func TestLoadBoxValues(t *testing.T) {
 	dir := testDir(t)
-	values := goodBox(dir)
+	values := validBox(dir)
 	values["box.weights-limit"] = "2GiB"
 	values["platform.list-interval"] = "5s"
 	box, err := LoadBox(writeFile(t, dir, values))
@@ -163,12 +163,12 @@
 	}
 	if box.WeightsLimit != 2<<30 || box.Platform.ListInterval != 5*time.Second || box.Platform.Secret != "s3cret" ||
 		box.Advertise != box.Daemon.Listen || box.Kind != "model" {
-		t.Errorf("settings %+v", box)
+		t.Errorf("unexpected settings %+v", box)
 	}
 }
 
-// TestExamples keeps the example files in step with the keys.
-func TestExamples(t *testing.T) {
+// TestExampleFiles checks that the example files match the keys.
+func TestExampleFiles(t *testing.T) {
 	for name, role := range map[string]Role{"box.ini": RoleBox, "entry.ini": RoleEntry} {
 		t.Run(name, func(t *testing.T) {
 			var want bytes.Buffer
@@ -197,7 +197,7 @@
 		}
 		var faults *FaultsError
 		if _, err := LoadBox(path); err != nil && !errors.As(err, &faults) {
-			t.Errorf("error %v is no list of faults", err)
+			t.Errorf("error %v is not a FaultsError", err)
 		}
 	})
 }
