--- a/internal/daemoncmd/main.go
+++ b/internal/daemoncmd/main.go
@@ -57,7 +57,7 @@
 
 func daemonAction(of role) cli.ActionFunc {
 	return func(ctx context.Context, _ *cli.Command) error {
-		stream := logging.NewStream(os.Stdout)
+		stream := logging.NewAsyncHandler(os.Stdout)
 		defer stream.Close(logFlush)
 		logger := &log.Logger{Handler: stream, Level: log.InfoLevel}
 		return run(ctx, of, os.Getenv(platform.SettingsVariable), logger)
--- a/logging/doc.go
+++ b/logging/doc.go
@@ -1,2 +1,2 @@
-// Package logging sets up the log: text on a terminal, JSON lines otherwise.
+// Package logging configures log output as text or JSON lines.
 package logging
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -10,20 +10,20 @@
 	"golang.org/x/term"
 )
 
-// Formats of the log.
+// Log formats. FormatAuto writes text to a terminal and JSON otherwise.
 const (
 	FormatAuto = "auto"
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// Setup sends the log to w in a format, from a least level upwards.
+// Setup writes log entries of at least a level to w in the given format.
 func Setup(w io.Writer, format, level string) error {
-	least, err := log.ParseLevel(level)
+	minLevel, err := log.ParseLevel(level)
 	if err != nil {
 		return err
 	}
-	log.SetLevel(least)
+	log.SetLevel(minLevel)
 	if format == FormatText || format == FormatAuto && isTerminal(w) {
 		log.SetHandler(text.New(w))
 		return nil
--- a/logging/stream.go
+++ b/logging/stream.go
@@ -13,122 +13,122 @@
 	"github.com/apex/log"
 )
 
-// Bounds of a stream of log lines: what is beyond them is dropped, counted and said once a second.
+// Limits of an AsyncHandler. Lines over a limit are dropped, counted and reported with the first entry of a later second.
 const (
 	LinesPerSecond = 500
 	BytesPerSecond = 256 << 10
-	queueLines     = 1000
-	longestValue   = 400
+	queueSize      = 1000
+	maxValueBytes  = 400
 )
 
-// usualLine is the room that a line is given before its length is known.
-const usualLine = 256
+// initialLineBytes is the initial capacity of a line's buffer.
+const initialLineBytes = 256
 
 var linesDropped = metrics.NewCounter("coralstair_log_lines_dropped_total")
 
-// Stream writes one JSON line an entry, in the order in which they came, and never makes a caller wait: a reader that
-// has stopped costs lines, not time.
-type Stream struct {
+// AsyncHandler writes log entries as JSON lines in order, from a queue. It drops lines rather than block the caller
+// on a slow writer.
+type AsyncHandler struct {
 	w     io.Writer
 	lines chan []byte
 	now   func() time.Time
 
-	mu      sync.Mutex
-	second  int64
-	count   int
-	bytes   int
-	dropped int
+	mu        sync.Mutex
+	second    int64
+	lineCount int
+	byteCount int
+	dropped   int
 }
 
-// NewStream returns a stream to w.
-func NewStream(w io.Writer) *Stream {
-	s := &Stream{w: w, lines: make(chan []byte, queueLines), now: time.Now}
+// NewAsyncHandler returns an AsyncHandler that writes to w.
+func NewAsyncHandler(w io.Writer) *AsyncHandler {
+	h := &AsyncHandler{w: w, lines: make(chan []byte, queueSize), now: time.Now}
 	go func() {
-		for line := range s.lines {
+		for line := range h.lines {
 			if line == nil {
 				return
 			}
-			_, _ = s.w.Write(line)
+			_, _ = h.w.Write(line)
 		}
 	}()
-	return s
+	return h
 }
 
-// Close writes what waits, for so long at most, and ends the stream.
-func (s *Stream) Close(limit time.Duration) {
-	deadline := s.now().Add(limit)
-	for len(s.lines) > 0 && s.now().Before(deadline) {
+// Close waits at most limit for the queue to empty, then stops the writer unless the queue is still full.
+func (h *AsyncHandler) Close(limit time.Duration) {
+	deadline := h.now().Add(limit)
+	for len(h.lines) > 0 && h.now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
 	select {
-	case s.lines <- nil:
+	case h.lines <- nil:
 	default:
 	}
 }
 
-// HandleLog takes one entry.
-func (s *Stream) HandleLog(e *log.Entry) error {
+// HandleLog queues one entry; it never blocks or fails.
+func (h *AsyncHandler) HandleLog(e *log.Entry) error {
 	line := encode(e)
-	now := s.now()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.turn(now)
-	s.count++
-	s.bytes += len(line)
-	if s.count > LinesPerSecond || s.bytes > BytesPerSecond || !s.offer(line) {
-		s.dropped++
+	now := h.now()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.startSecond(now)
+	h.lineCount++
+	h.byteCount += len(line)
+	if h.lineCount > LinesPerSecond || h.byteCount > BytesPerSecond || !h.enqueue(line) {
+		h.dropped++
 		linesDropped.Inc()
 	}
 	return nil
 }
 
-// turn begins to count anew with each second, and says what the last one dropped; mu is held.
-func (s *Stream) turn(now time.Time) {
+// startSecond resets the counters in a new second and logs how many lines the last one dropped. The caller holds mu.
+func (h *AsyncHandler) startSecond(now time.Time) {
 	second := now.Unix()
-	if second == s.second {
+	if second == h.second {
 		return
 	}
-	if s.dropped > 0 {
-		s.offer(encode(&log.Entry{
-			Level: log.WarnLevel, Timestamp: now, Message: "log: lines dropped", Fields: log.Fields{"lines": s.dropped},
+	if h.dropped > 0 {
+		h.enqueue(encode(&log.Entry{
+			Level: log.WarnLevel, Timestamp: now, Message: "log: lines dropped", Fields: log.Fields{"lines": h.dropped},
 		}))
 	}
-	s.second, s.count, s.bytes, s.dropped = second, 0, 0, 0
+	h.second, h.lineCount, h.byteCount, h.dropped = second, 0, 0, 0
 }
 
-// offer hands a line to the writer; false when too many wait.
-func (s *Stream) offer(line []byte) bool {
+// enqueue queues a line for writing and returns false if the queue is full.
+func (h *AsyncHandler) enqueue(line []byte) bool {
 	select {
-	case s.lines <- line:
+	case h.lines <- line:
 		return true
 	default:
 		return false
 	}
 }
 
-// encode writes an entry as a line of JSON, its fields by name.
+// encode formats an entry as a JSON line with sorted fields.
 func encode(e *log.Entry) []byte {
-	line := make([]byte, 0, usualLine)
+	line := make([]byte, 0, initialLineBytes)
 	line = append(line, `{"at":"`...)
 	line = e.Timestamp.UTC().AppendFormat(line, "2006-01-02T15:04:05.000Z")
 	line = append(line, `","level":"`...)
 	line = append(line, e.Level.String()...)
 	line = append(line, `","msg":`...)
-	line = appendText(line, e.Message)
+	line = appendString(line, e.Message)
 	for _, name := range slices.Sorted(maps.Keys(e.Fields)) {
 		line = append(line, ',')
-		line = appendText(line, name)
+		line = appendString(line, name)
 		line = append(line, ':')
 		line = appendValue(line, e.Fields[name])
 	}
 	return append(line, '}', '\n')
 }
 
-// appendValue writes a field's value; one that cannot be encoded is null.
+// appendValue appends a field's value, or null if it cannot be encoded.
 func appendValue(line []byte, value any) []byte {
 	switch v := value.(type) {
 	case string:
-		return appendText(line, v)
+		return appendString(line, v)
 	case int:
 		return strconv.AppendInt(line, int64(v), 10)
 	case int64:
@@ -146,9 +146,9 @@
 	}
 }
 
-// appendText writes a text in quotes, cut where it is too long; plain ones need no encoder.
-func appendText(line []byte, text string) []byte {
-	text = text[:min(len(text), longestValue)]
+// appendString appends a quoted string, truncated to maxValueBytes. Plain ASCII needs no JSON encoder.
+func appendString(line []byte, text string) []byte {
+	text = text[:min(len(text), maxValueBytes)]
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c == '"' || c == '\\' || c >= 0x7f {
 			quoted, err := json.Marshal(text)
--- a/logging/stream_test.go
+++ b/logging/stream_test.go
@@ -11,41 +11,41 @@
 	"github.com/apex/log"
 )
 
-// stoppedWriter is a reader that has stopped.
-type stoppedWriter struct{ until chan struct{} }
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (w stoppedWriter) Write(b []byte) (int, error) {
-	<-w.until
+func (w blockedWriter) Write(b []byte) (int, error) {
+	<-w.release
 	return len(b), nil
 }
 
-func entryOf(fields log.Fields) *log.Entry {
+func newLogEntry(fields log.Fields) *log.Entry {
 	return &log.Entry{Level: log.InfoLevel, Message: "request", Fields: fields, Timestamp: time.Unix(0, 0)}
 }
 
-func TestStreamNeverWaits(t *testing.T) {
-	until := make(chan struct{})
-	s := NewStream(stoppedWriter{until: until})
+func TestHandlerDoesNotBlock(t *testing.T) {
+	release := make(chan struct{})
+	h := NewAsyncHandler(blockedWriter{release: release})
 	done := make(chan struct{})
 	go func() {
-		for range 10 * queueLines {
-			_ = s.HandleLog(entryOf(nil))
+		for range 10 * queueSize {
+			_ = h.HandleLog(newLogEntry(nil))
 		}
 		close(done)
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a reader that has stopped holds up those who log")
+		t.Fatal("a blocked writer blocks the caller")
 	}
-	close(until)
+	close(release)
 }
 
-func TestStreamIsBounded(t *testing.T) {
+func TestHandlerLimitsRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
-		s := NewStream(w)
-		lines := make(chan string, 10*queueLines)
+		h := NewAsyncHandler(w)
+		lines := make(chan string, 10*queueSize)
 		go func() {
 			decoder := json.NewDecoder(r)
 			for {
@@ -57,37 +57,37 @@
 			}
 		}()
 		for range 3 * LinesPerSecond {
-			_ = s.HandleLog(entryOf(nil))
+			_ = h.HandleLog(newLogEntry(nil))
 		}
 		synctest.Wait()
 		if n := len(lines); n > LinesPerSecond {
 			t.Errorf("%d lines in one second, want at most %d", n, LinesPerSecond)
 		}
 		time.Sleep(time.Second)
-		_ = s.HandleLog(entryOf(nil))
+		_ = h.HandleLog(newLogEntry(nil))
 		synctest.Wait()
-		said := false
+		reported := false
 		for len(lines) > 0 {
 			if <-lines == "log: lines dropped" {
-				said = true
+				reported = true
 			}
 		}
-		if !said {
-			t.Error("what was dropped is not said")
+		if !reported {
+			t.Error("no summary of dropped lines")
 		}
-		s.Close(0)
+		h.Close(0)
 		_ = r.Close()
 	})
 }
 
-func TestLinesAreJSON(t *testing.T) {
+func TestEncodeWritesValidJSON(t *testing.T) {
 	for name, value := range map[string]any{
 		"text": "plain", "quotes": `a "b" \ c`, "control": "a\nb", "not ASCII": "ü", "number": 4, "list": []string{"a"},
-		"long": strings.Repeat("x", 3*longestValue), "error in encoding": func() {},
+		"long": strings.Repeat("x", 3*maxValueBytes), "unsupported type": func() {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var line map[string]any
-			if err := json.Unmarshal(encode(entryOf(log.Fields{"value": value})), &line); err != nil {
+			if err := json.Unmarshal(encode(newLogEntry(log.Fields{"value": value})), &line); err != nil {
 				t.Errorf("%v", err)
 			}
 		})
