--- a/keys/doc.go
+++ b/keys/doc.go
@@ -1,2 +1,2 @@
-// Package keys tells teams and operators by the keys they send, of which only hashes are kept.
+// Package keys authenticates teams and operators by API keys, which are stored as hashes.
 package keys
--- a/keys/ring.go
+++ b/keys/ring.go
@@ -10,39 +10,39 @@
 	"strings"
 )
 
-// Role is what the holder of a key may do.
+// Role determines what the holder of a key may do.
 type Role string
 
-// The roles of a key.
+// Roles of a key.
 const (
-	// RoleTeam sends requests for a team.
+	// RoleTeam may send requests for a team.
 	RoleTeam Role = "team"
-	// RoleRead asks queries.
+	// RoleRead may run queries.
 	RoleRead Role = "read"
-	// RoleOperate asks queries and makes decisions.
+	// RoleOperate may run queries and make decisions.
 	RoleOperate Role = "operate"
 )
 
-// Key is a known key: its holder's name, a team or an operator, and what they may do.
+// Key is a known key: the name of its team or operator, its role and its hash.
 type Key struct {
 	Name string
 	Role Role
 	Hash [sha256.Size]byte
 }
 
-// Ring is a set of keys; a zero Ring knows none.
+// Ring is a set of known keys. The zero Ring is empty.
 type Ring struct{ keys []Key }
 
-// SyntaxError says that a line of a keys file cannot be read.
+// SyntaxError reports an invalid line of a keys file.
 type SyntaxError struct {
 	Line   int
 	Reason string
 }
 
-// Error names the line.
+// Error returns the line number and the reason.
 func (e *SyntaxError) Error() string { return fmt.Sprintf("keys, line %d: %s", e.Line, e.Reason) }
 
-// Read reads a keys file: a line each with role, name and the key's SHA-256 in hexadecimal.
+// Read parses a keys file. Each line holds a role, a name and the hexadecimal SHA-256 of a key. The error may be a *SyntaxError.
 func Read(r io.Reader) (*Ring, error) {
 	ring := &Ring{}
 	scanner := bufio.NewScanner(r)
@@ -60,13 +60,13 @@
 	return ring, scanner.Err()
 }
 
-// Hash returns the hash under which a key is kept, in hexadecimal.
+// Hash returns the hexadecimal SHA-256 of a key, as stored in a keys file.
 func Hash(secret string) string {
 	sum := sha256.Sum256([]byte(secret))
 	return hex.EncodeToString(sum[:])
 }
 
-// Find returns the key that a secret is; every known key is compared, in constant time.
+// Find returns the known key that matches a secret. It compares all keys in constant time, so that timing reveals nothing.
 func (r *Ring) Find(secret string) (key Key, ok bool) {
 	sum := sha256.Sum256([]byte(secret))
 	for _, known := range r.keys {
@@ -80,7 +80,7 @@
 func parseKey(text string) (Key, error) {
 	fields := strings.Fields(text)
 	if len(fields) != 3 {
-		return Key{}, fmt.Errorf("want role, name and hash, got %d words", len(fields))
+		return Key{}, fmt.Errorf("want role, name and hash, got %d fields", len(fields))
 	}
 	key := Key{Role: Role(fields[0]), Name: fields[1]}
 	switch key.Role {
