--- a/machine/doc.go
+++ b/machine/doc.go
@@ -1,3 +1,3 @@
-// Package machine describes the machine on which a daemon runs: its place, its
-// addresses, its links and limits, and the bounds that its operators have set.
+// Package machine describes the machine on which a daemon runs: its site, its
+// addresses, its link rate, and the time limits that operators have set.
 package machine
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// Machine is one machine as its settings tell it.
+// Machine is one machine as described by its settings file.
 type Machine struct {
 	ID      string
 	Address string
 	Site    string
-	// Regions holds the region of each site.
+	// Regions maps each site to its region.
 	Regions map[string]string
-	// CallersAt and ReadyAt are the addresses to listen at; empty where the machine does not serve that.
+	// CallersAt and ReadyAt are listen addresses for callers' requests and readiness checks; empty if not served.
 	CallersAt string
 	ReadyAt   string
-	// LinkPort is the port at which boxes take links, alike on all machines.
+	// LinkPort is the port on which boxes accept links, the same on all machines.
 	LinkPort int
 	// StoreAt is the address of the platform's store.
 	StoreAt string
-	// UpstreamAt and Service are the server on this machine; empty where there is none.
+	// UpstreamAt and Service are the address and service of the server on this machine; empty if there is none.
 	UpstreamAt string
 	Service    string
-	// LinkRate is the machine's link in bytes a second.
+	// LinkRate is the bandwidth of the machine's link in bytes per second.
 	LinkRate float64
 	Bounds   Bounds
 }
 
-// Bounds are the times and shares that operators have set for the system.
+// Bounds are the time and retry limits set by operators.
 type Bounds struct {
-	// Drain is how long after it said that it leaves a server may still get requests; 0 where operators have set none.
+	// Drain is how long a server may get requests after it has announced that it leaves; 0 if not set.
 	Drain time.Duration
 	// Grace is how long a planned stop may take.
 	Grace time.Duration
-	// Contact is how long a machine has to be undisturbed until the other bounds hold for it; 0 where operators have set none.
+	// Contact is how long a machine must be free of faults before the other bounds apply to it; 0 if not set.
 	Contact time.Duration
-	// Version is how soon after a new version is named no request begins on an older one.
+	// Version is how long requests may still start on an older version after a new one is named.
 	Version time.Duration
-	// RetryRatio of the requests, and RetrySlack more, may be sent a second time within RetryWindow, by all entries together.
+	// RetryRatio of the requests, plus RetrySlack, may be retried within RetryWindow, summed over all entries.
 	RetryRatio  float64
 	RetrySlack  int
 	RetryWindow time.Duration
 }
 
-// LinkAt returns the address of the box at a host.
+// LinkAt returns the link address of the box on a host.
 func (m *Machine) LinkAt(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(m.LinkPort))
 }
 
-// Region returns the region of a site, or the site itself where none is known.
+// Region returns the region of a site, or the site itself if its region is unknown.
 func (m *Machine) Region(site string) string {
 	if region, ok := m.Regions[site]; ok {
 		return region
