--- a/supervise/daemon.go
+++ b/supervise/daemon.go
@@ -11,22 +11,22 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// sendTime is how long answers whose handlers are done may take to leave when a daemon ends.
-const sendTime = 500 * time.Millisecond
+// shutdownTimeout limits the time to send responses that handlers have already written.
+const shutdownTimeout = 500 * time.Millisecond
 
-// Part is a named part of a daemon; Run returns when ctx ends.
+// Part is a named component of a daemon. Run must return when ctx ends.
 type Part struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Serve runs the part.
+// Serve implements suture.Service.
 func (p Part) Serve(ctx context.Context) error { return p.Run(ctx) }
 
-// String names the part in the log.
+// String returns the name for the log.
 func (p Part) String() string { return p.Name }
 
-// Daemon is the parts of one daemon.
+// Daemon is an HTTP server and the components of a daemon.
 type Daemon struct {
 	Name     string
 	Log      log.Interface
@@ -35,7 +35,7 @@
 	Parts    []Part
 }
 
-// Run runs named parts until ctx ends; one that ends before is started again.
+// Run runs components until ctx ends and restarts those that return early.
 func Run(ctx context.Context, name string, logger log.Interface, parts []Part) error {
 	d := &Daemon{Name: name, Log: logger}
 	tree := suture.New(name, suture.Spec{EventHook: d.logEvent})
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Run runs the server and all parts until ctx ends, then ends the server once what it has answered has left.
+// Run runs the server and all components until ctx ends, then shuts the server down once written responses are sent.
 func (d *Daemon) Run(ctx context.Context) error {
 	closed := make(chan struct{})
 	go func() {
@@ -66,16 +66,16 @@
 	return err
 }
 
-// closeServer ends the server; answers that take longer to leave are cut off.
+// closeServer shuts the server down and closes connections still open after shutdownTimeout.
 func (d *Daemon) closeServer() {
-	ctx, cancel := context.WithTimeout(context.Background(), sendTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := d.Server.Shutdown(ctx); err != nil {
 		_ = d.Server.Close()
 	}
 }
 
-// logEvent logs that a part ended; a panic is logged with its cause, not with its whole stack.
+// logEvent logs the failure or panic of a component.
 func (d *Daemon) logEvent(event suture.Event) {
 	fields := event.Map()
 	entry := d.Log.WithField("part", fields["service_name"])
--- a/supervise/daemon_test.go
+++ b/supervise/daemon_test.go
@@ -12,24 +12,21 @@
 	"github.com/apex/log/handlers/discard"
 )
 
-// What callers would see: in a planned stop of an entry the last answers do not arrive. The order of events: the handlers of
-// the last requests are done, so that the entry has left and its daemon ends; the HTTP server sends what handlers wrote only
-// once they have returned, and is closed at that moment. The cause: connections are closed that still have an answer to send.
-
-// TestLastAnswersArrive proves that a daemon which ends once its handlers are done has sent their answers.
+// TestLastAnswersArrive checks that a daemon which stops as soon as its handlers return still sends their buffered
+// responses before it closes connections.
 func TestLastAnswersArrive(t *testing.T) {
 	const rounds, callers = 40, 16
 	lost := 0
 	for range rounds {
-		lost += lostAnswers(t, callers)
+		lost += countLostResponses(t, callers)
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d answers lost", lost, rounds*callers)
+		t.Errorf("%d of %d responses lost", lost, rounds*callers)
 	}
 }
 
-// lostAnswers ends a daemon as soon as its handlers are done, and counts the answers that did not arrive.
-func lostAnswers(t *testing.T, callers int) int {
+// countLostResponses stops a daemon as soon as its handlers are done and returns the number of responses that did not arrive.
+func countLostResponses(t *testing.T, callers int) int {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,11 +35,11 @@
 	var arrived, active sync.WaitGroup
 	arrived.Add(callers)
 	active.Add(callers)
-	answer := make(chan struct{})
+	respond := make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		defer active.Done()
 		arrived.Done()
-		<-answer
+		<-respond
 		_, _ = io.WriteString(w, "hello")
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -50,14 +47,14 @@
 		Name: "test", Log: &log.Logger{Handler: discard.Default}, Listener: listener,
 		Server: &http.Server{Handler: handler},
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- daemon.Run(ctx) }()
-	var asking sync.WaitGroup
+	done := make(chan error, 1)
+	go func() { done <- daemon.Run(ctx) }()
+	var clients sync.WaitGroup
 	var mu sync.Mutex
 	lost := 0
 	for range callers {
-		asking.Go(func() {
-			if !answered("http://" + listener.Addr().String()) {
+		clients.Go(func() {
+			if !receivesResponse("http://" + listener.Addr().String()) {
 				mu.Lock()
 				defer mu.Unlock()
 				lost++
@@ -65,17 +62,17 @@
 		})
 	}
 	arrived.Wait()
-	close(answer)
+	close(respond)
 	active.Wait()
 	cancel()
-	asking.Wait()
-	if err := <-ended; err != nil {
+	clients.Wait()
+	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	return lost
 }
 
-func answered(url string) bool {
+func receivesResponse(url string) bool {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get(url)
 	if err != nil {
--- a/supervise/doc.go
+++ b/supervise/doc.go
@@ -1,3 +1,3 @@
-// Package supervise runs the parts of a daemon and its HTTP server as one tree:
-// a part that fails is started again.
+// Package supervise runs the components of a daemon in a supervision tree, which
+// restarts those that fail, next to the daemon's HTTP server.
 package supervise
--- a/supervise/serve.go
+++ b/supervise/serve.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// ServeHTTP runs a server until ctx ends, then closes it at once.
+// ServeHTTP runs a server until ctx ends, then closes it without waiting for requests.
 func ServeHTTP(ctx context.Context, server *http.Server, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stop()
