--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -17,12 +17,12 @@
 	"github.com/coralstair/coralstair/view"
 )
 
-// toldSettle is how old what entries tell may be.
-const toldSettle = 50 * time.Millisecond
+// peerCoalesceDelay is the longest delay before changes relayed by entries take effect.
+const peerCoalesceDelay = 50 * time.Millisecond
 
-// run runs one daemon until a signal: SIGHUP reads the settings again, SIGTERM asks for a planned stop, a second one ends
-// it at once.
-func run(ctx context.Context, of role, path string, logger log.Interface) error {
+// run runs one daemon until it is stopped. SIGHUP checks the settings file again, SIGTERM or SIGINT starts a planned
+// stop, and a second one stops the daemon at once.
+func run(ctx context.Context, r role, path string, logger log.Interface) error {
 	started := time.Now()
 	m, err := platform.LoadMachine(path)
 	if err != nil {
@@ -36,42 +36,42 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	store := platform.NewStore(m.StoreAt, newClient())
-	v, from := newView(of, m, store, logger)
-	from.store = store
-	d, err := of.build(m, v, from, logger)
+	v, src := newView(r, m, store, logger)
+	src.store = store
+	d, err := r.build(m, v, src, logger)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		stop(ctx, signals, path, logger, d)
+		handleSignals(ctx, signals, path, logger, d)
 		cancel()
 	}()
 	parts := append([]supervise.Part{
 		{Name: "declared", Run: v.ServeDeclared},
 		{Name: "servers", Run: v.ServeServers},
-		{Name: "clock", Run: lookForSuspensions(logger, d)},
+		{Name: "clock", Run: watchSuspensions(logger, d)},
 		{Name: "metrics", Run: serveMetrics(m.Address)},
 	}, d.Parts()...)
-	logger.WithFields(log.Fields{"role": of.name, "id": m.ID, "site": m.Site, "pid": os.Getpid()}).Info("daemon: started")
-	err = supervise.Run(ctx, of.name, logger, parts)
-	logger.WithFields(log.Fields{"role": of.name, "id": m.ID, "ran_ms": time.Since(started).Milliseconds()}).Info("daemon: stopped")
+	logger.WithFields(log.Fields{"role": r.name, "id": m.ID, "site": m.Site, "pid": os.Getpid()}).Info("daemon: started")
+	err = supervise.Run(ctx, r.name, logger, parts)
+	logger.WithFields(log.Fields{"role": r.name, "id": m.ID, "ran_ms": time.Since(started).Milliseconds()}).Info("daemon: stopped")
 	return err
 }
 
-// newView returns what a daemon believes, by the store and by what entries tell of it.
-func newView(of role, m machine.Machine, platformStore *platform.Store, logger log.Interface) (*view.View, sources) {
+// newView returns a daemon's view of configuration and servers, and the sources that it reads.
+func newView(r role, m machine.Machine, platformStore *platform.Store, logger log.Interface) (*view.View, sources) {
 	opts := view.Options{
 		Log: logger, Drain: m.Bounds.Drain, VersionBound: m.Bounds.Version, Wait: view.WaitWithin(m.Bounds.Contact),
 		ServersSettle: view.SettleWithin(m.Bounds.Drain),
 	}
 	store := view.Reissue(platformStore)
-	if !of.told {
+	if !r.fedByEntries {
 		source := told.NewForEntry(store, forward.ListWait(m.Bounds.Drain))
 		return view.New(source, opts), sources{entry: source}
 	}
 	source := told.New(store)
-	opts.Reread, opts.Settle, opts.ServersSettle = true, toldSettle, toldSettle
+	opts.Reread, opts.Settle, opts.ServersSettle = true, peerCoalesceDelay, peerCoalesceDelay
 	return view.New(source, opts), sources{box: source}
 }
--- a/internal/daemoncmd/doc.go
+++ b/internal/daemoncmd/doc.go
@@ -1,3 +1,3 @@
-// Package daemoncmd puts the daemons of the users' platform together: it is the
-// one place that chooses package platform as their adapter.
+// Package daemoncmd assembles the daemons of the users' platform. It is the only
+// package that connects them to the platform adapter.
 package daemoncmd
--- a/internal/daemoncmd/main.go
+++ b/internal/daemoncmd/main.go
@@ -18,20 +18,20 @@
 
 // Exit codes.
 const (
-	exitDone   = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitSuccess = 0
+	exitFailed  = 1
+	exitUsage   = 2
 )
 
 const (
-	// collectPercent is how much garbage may stand beside what is in use: memory is dearer here than the time to collect.
-	collectPercent = 50
-	logFlush       = 200 * time.Millisecond
+	// gcPercent is below the default because memory is scarcer than CPU time.
+	gcPercent       = 50
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// Main runs one daemon and returns the exit code.
+// Main runs the daemon named by the command line and returns its exit code.
 func Main(args []string) int {
-	debug.SetGCPercent(collectPercent)
+	debug.SetGCPercent(gcPercent)
 	root := &cli.Command{
 		Name:  "coralstaird",
 		Usage: "run a daemon on the users' platform",
@@ -45,7 +45,7 @@
 	}
 	err := root.Run(context.Background(), args)
 	if err == nil {
-		return exitDone
+		return exitSuccess
 	}
 	fmt.Fprintln(os.Stderr, "coralstaird: "+err.Error())
 	var faults *settings.FaultsError
@@ -55,11 +55,11 @@
 	return exitFailed
 }
 
-func daemonAction(of role) cli.ActionFunc {
+func daemonAction(r role) cli.ActionFunc {
 	return func(ctx context.Context, _ *cli.Command) error {
-		stream := logging.NewAsyncHandler(os.Stdout)
-		defer stream.Close(logFlush)
-		logger := &log.Logger{Handler: stream, Level: log.InfoLevel}
-		return run(ctx, of, os.Getenv(platform.SettingsVariable), logger)
+		handler := logging.NewAsyncHandler(os.Stdout)
+		defer handler.Close(logFlushTimeout)
+		logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
+		return run(ctx, r, os.Getenv(platform.SettingsVariable), logger)
 	}
 }
--- a/internal/daemoncmd/main_test.go
+++ b/internal/daemoncmd/main_test.go
@@ -8,14 +8,14 @@
 	"github.com/coralstair/coralstair/platform"
 )
 
-func TestBadSettingsExit(t *testing.T) {
+func TestInvalidSettingsExitCode(t *testing.T) {
 	for name, test := range map[string]struct {
 		text string
 		want int
 	}{
-		"a field is missing":    {"node = \"n\"\n", exitUsage},
-		"a field of wrong type": {"node = 4\n", exitUsage},
-		"no file":               {"", exitUsage},
+		"missing field":       {"node = \"n\"\n", exitUsage},
+		"field of wrong type": {"node = 4\n", exitUsage},
+		"no file":             {"", exitUsage},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "boot.toml")
--- a/internal/daemoncmd/metrics.go
+++ b/internal/daemoncmd/metrics.go
@@ -12,15 +12,15 @@
 	"github.com/coralstair/coralstair/supervise"
 )
 
-// metricsPort and metricsPath are where a daemon tells its counters, at the machine's address.
+// metricsPort and metricsPath locate the Prometheus endpoint at the machine's address.
 const (
 	metricsPort = 9464
 	metricsPath = "/metrics"
 )
 
-const headerTime = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// serveMetrics returns a part that tells the counters at an address.
+// serveMetrics returns a component that serves the metrics at an IP address.
 func serveMetrics(address string) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		listener, err := net.Listen("tcp", net.JoinHostPort(address, strconv.Itoa(metricsPort)))
@@ -29,7 +29,7 @@
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc(metricsPath, func(w http.ResponseWriter, _ *http.Request) { metrics.WritePrometheus(w, true) })
-		server := &http.Server{Handler: mux, ReadHeaderTimeout: headerTime}
+		server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
 		return supervise.ServeHTTP(ctx, server, listener)
 	}
 }
--- a/internal/daemoncmd/operations_test.go
+++ b/internal/daemoncmd/operations_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestOperationsPageIsComplete proves that each line of the log and each metric of the daemons stands in the operators' page.
+// TestOperationsPageIsComplete checks that the operators' page covers each log message and metric of the daemons.
 func TestOperationsPageIsComplete(t *testing.T) {
 	root := filepath.Join("..", "..")
 	page, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
@@ -39,6 +39,6 @@
 		}
 	}
 	if found < 30 {
-		t.Errorf("only %d lines and metrics found; the test looks in the wrong place", found)
+		t.Errorf("only %d log messages and metrics found; the test searches the wrong files", found)
 	}
 }
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	dialTime     = time.Second
-	idleTime     = 30 * time.Second
-	clientBuffer = 2 << 10
-	keepProbe    = time.Second
-	keepProbes   = 2
+	dialTimeout       = time.Second
+	idleConnTimeout   = 30 * time.Second
+	clientBufferBytes = 2 << 10
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// daemon is what an entry and a box have in common as processes.
+// daemon is implemented by entries and boxes.
 type daemon interface {
 	Parts() []supervise.Part
 }
 
-// role is what one kind of daemon is made of.
+// role describes one kind of daemon.
 type role struct {
 	name string
-	// told says that entries tell what the store holds, and that it is read only while none does.
-	told  bool
-	build func(m machine.Machine, v *view.View, sources sources, logger log.Interface) (daemon, error)
+	// fedByEntries means that entries relay the store's content; the daemon reads the store only while none does.
+	fedByEntries bool
+	build        func(m machine.Machine, v *view.View, sources sources, logger log.Interface) (daemon, error)
 }
 
-// sources are what a daemon reads; of box and entry, which its view reads, one is nil.
+// sources are the data sources of a daemon. Its view reads box or entry; the other is nil.
 type sources struct {
 	store *platform.Store
 	box   *told.Source
@@ -47,10 +47,10 @@
 
 var (
 	entryRole = role{name: "entry", build: newEntry}
-	boxRole   = role{name: "box", build: newBox, told: true}
+	boxRole   = role{name: "box", build: newBox, fedByEntries: true}
 )
 
-func newEntry(m machine.Machine, v *view.View, from sources, logger log.Interface) (daemon, error) {
+func newEntry(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
 	callers, err := net.Listen("tcp", m.CallersAt)
 	if err != nil {
 		return nil, err
@@ -64,25 +64,25 @@
 		return nil, err
 	}
 	return forward.New(forward.Config{
-		Machine: m, View: v, Wire: platform.Wire{}, Log: logger, Callers: callers, Ready: ready, Links: links, Told: from.entry,
+		Machine: m, View: v, Wire: platform.Wire{}, Log: logger, Callers: callers, Ready: ready, Links: links, Told: src.entry,
 		Quarantine: quarantine.New(quarantine.Options{
-			Entry: m.ID, Store: from.store, Log: logger, Wait: view.WaitWithin(m.Bounds.Contact), Told: from.entry.Tells,
+			Entry: m.ID, Store: src.store, Log: logger, Wait: view.WaitWithin(m.Bounds.Contact), Told: src.entry.Tells,
 		}),
 	}), nil
 }
 
-func newBox(m machine.Machine, v *view.View, from sources, logger log.Interface) (daemon, error) {
+func newBox(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
 	listener, err := net.Listen("tcp", m.LinkAt(m.Address))
 	if err != nil {
 		return nil, err
 	}
 	return fill.New(fill.Config{
-		Machine: m, View: v, Log: logger, Listener: listener, Told: from.box,
+		Machine: m, View: v, Log: logger, Listener: listener, Told: src.box,
 		Engine: platform.NewEngine(m.UpstreamAt, newClient()), Origin: platform.NewOrigin(newOriginClient()),
 	}), nil
 }
 
-// newOriginClient returns a client that keeps no connection: the origin takes fewer than there are boxes.
+// newOriginClient returns a client without keep-alive: the origin accepts fewer connections than there are boxes.
 func newOriginClient() *http.Client {
 	client := newClient()
 	if transport, ok := client.Transport.(*http.Transport); ok {
@@ -91,14 +91,14 @@
 	return client
 }
 
-// newClient returns a client for the store or the server on this machine.
+// newClient returns a client for the store or the model server on this machine.
 func newClient() *http.Client {
 	dialer := &net.Dialer{
-		Timeout:         dialTime,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepProbe, Interval: keepProbe, Count: keepProbes},
+		Timeout:         dialTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
 	}
 	return &http.Client{Transport: &http.Transport{
-		DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleTime,
-		ReadBufferSize: clientBuffer, WriteBufferSize: clientBuffer,
+		DialContext: dialer.DialContext, DisableCompression: true, IdleConnTimeout: idleConnTimeout,
+		ReadBufferSize: clientBufferBytes, WriteBufferSize: clientBufferBytes,
 	}}
 }
--- a/internal/daemoncmd/stop.go
+++ b/internal/daemoncmd/stop.go
@@ -10,33 +10,33 @@
 	"github.com/coralstair/coralstair/platform"
 )
 
-// leaver is a daemon that a planned stop has to wait for.
+// leaver is a daemon whose planned stop takes time; Leave returns when it is complete or ctx ends.
 type leaver interface {
 	Leave(ctx context.Context)
 }
 
-// stop returns when the daemon has left or must end at once.
-func stop(ctx context.Context, signals <-chan os.Signal, path string, logger log.Interface, d daemon) {
+// handleSignals handles signals until the daemon has left or must stop at once.
+func handleSignals(ctx context.Context, signals <-chan os.Signal, path string, logger log.Interface, d daemon) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case received := <-signals:
-			if received == syscall.SIGHUP {
+		case sig := <-signals:
+			if sig == syscall.SIGHUP {
 				reload(path, logger)
 				continue
 			}
-			logger.WithField("signal", received.String()).Info("daemon: planned stop")
+			logger.WithField("signal", sig.String()).Info("daemon: planned stop")
 			if leaver, ok := d.(leaver); ok {
-				leave(ctx, signals, leaver)
+				waitForLeave(ctx, signals, leaver)
 			}
 			return
 		}
 	}
 }
 
-// leave waits until the daemon has left; a second signal to stop ends the waiting.
-func leave(ctx context.Context, signals <-chan os.Signal, d leaver) {
+// waitForLeave runs Leave; a second stop signal cancels it. SIGHUP is ignored meanwhile.
+func waitForLeave(ctx context.Context, signals <-chan os.Signal, d leaver) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -44,8 +44,8 @@
 			select {
 			case <-ctx.Done():
 				return
-			case received := <-signals:
-				if received != syscall.SIGHUP {
+			case sig := <-signals:
+				if sig != syscall.SIGHUP {
 					cancel()
 					return
 				}
@@ -55,7 +55,7 @@
 	d.Leave(ctx)
 }
 
-// reload reads the settings again; what they hold of this machine's place and addresses only counts at the next start.
+// reload checks the settings file again. Its values take effect only at the next start.
 func reload(path string, logger log.Interface) {
 	if _, err := platform.LoadMachine(path); err != nil {
 		logger.WithField("cause", err.Error()).Error("daemon: settings cannot be read; the last ones stay")
--- a/internal/daemoncmd/stop_test.go
+++ b/internal/daemoncmd/stop_test.go
@@ -14,25 +14,24 @@
 	"github.com/coralstair/coralstair/supervise"
 )
 
-// slowLeaver is a daemon that takes an hour to leave unless it is told to end.
-type slowLeaver struct{ cut bool }
+// slowLeaver is a daemon that takes an hour to leave unless it is cancelled.
+type slowLeaver struct{ cancelled bool }
 
 func (*slowLeaver) Parts() []supervise.Part { return nil }
 
 func (l *slowLeaver) Leave(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-		l.cut = true
+		l.cancelled = true
 	case <-time.After(time.Hour):
 	}
 }
 
-// TestSignalsDuringALeave proves that SIGHUP changes nothing while a daemon leaves, and that a second signal to stop ends it at
-// once.
-func TestSignalsDuringALeave(t *testing.T) {
+// TestSignalsDuringLeave checks that SIGHUP does not affect a leaving daemon and that a second stop signal cancels the leave.
+func TestSignalsDuringLeave(t *testing.T) {
 	for name, test := range map[string]struct {
-		second os.Signal
-		cut    bool
+		second    os.Signal
+		cancelled bool
 	}{
 		"SIGHUP":  {syscall.SIGHUP, false},
 		"SIGTERM": {syscall.SIGTERM, true},
@@ -41,16 +40,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				signals := make(chan os.Signal, 2)
 				d := &slowLeaver{}
-				began := time.Now()
+				start := time.Now()
 				signals <- syscall.SIGTERM
 				time.AfterFunc(time.Minute, func() { signals <- test.second })
-				stop(t.Context(), signals, "", &log.Logger{Handler: discard.Default}, d)
+				handleSignals(t.Context(), signals, "", &log.Logger{Handler: discard.Default}, d)
 				want := time.Hour
-				if test.cut {
+				if test.cancelled {
 					want = time.Minute
 				}
-				if took := time.Since(began); d.cut != test.cut || took != want {
-					t.Errorf("cut %v after %s, want %v after %s", d.cut, took, test.cut, want)
+				if took := time.Since(start); d.cancelled != test.cancelled || took != want {
+					t.Errorf("cancelled %v after %s, want %v after %s", d.cancelled, took, test.cancelled, want)
 				}
 			})
 		})
--- a/internal/daemoncmd/suspend.go
+++ b/internal/daemoncmd/suspend.go
@@ -9,20 +9,19 @@
 	"github.com/coralstair/coralstair/clock"
 )
 
-// lookEvery is how often it is looked whether the machine was suspended: as long as that, what a daemon believes may look younger
-// than it is.
-const lookEvery = 500 * time.Millisecond
+// suspensionCheckInterval bounds how long after a suspension a daemon may take stale data for current.
+const suspensionCheckInterval = 500 * time.Millisecond
 
-// resumer is a daemon with work in progress that has to end by other clocks than its own.
+// resumer is a daemon that must end requests whose deadlines passed during a suspension, while its timers stood still.
 type resumer interface {
 	Resumed()
 }
 
-// lookForSuspensions returns a part that moves the clock on when the machine was suspended, and tells the daemon then.
-func lookForSuspensions(logger log.Interface, d daemon) func(ctx context.Context) error {
+// watchSuspensions returns a component that advances the clock after each suspension and then notifies the daemon.
+func watchSuspensions(logger log.Interface, d daemon) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
 		var watch clock.Watch
-		ticker := time.NewTicker(lookEvery)
+		ticker := time.NewTicker(suspensionCheckInterval)
 		defer ticker.Stop()
 		for {
 			if gap := watch.Look(); gap > 0 {
