--- a/swarm/choose.go
+++ b/swarm/choose.go
@@ -8,21 +8,20 @@
 	"github.com/coralstair/coralstair/fleet"
 )
 
-// candidate is a missing chunk that could be asked for now.
+// candidate is a missing chunk that can be requested now.
 type candidate struct {
 	chunk int
-	// last says that it comes after those that are not: chunks of a node that are planned to be drawn, pieces of a feed
-	// that a box of the own site holds.
-	last bool
-	// load is what the least loaded holder has to give before; a node does not tell it.
-	load   int
-	copies int
-	tie    uint64
+	// deferred candidates come last: a Node's chunks that this box will download, a Feed's pieces held in its own site.
+	deferred bool
+	// load is the queue length of the least loaded holder; a Node leaves it 0.
+	load     int
+	copies   int
+	tiebreak uint64
 }
 
-// nextAsks chooses chunks to ask of other boxes: the rarest first, those planned to be drawn last.
-func (n *Node) nextAsks(now time.Time) []Action {
-	room := n.params.Pulls - len(n.asked)
+// nextRequests chooses chunks to request from peers: the rarest first, those planned for download last.
+func (n *Node) nextRequests(now time.Time) []Action {
+	room := n.params.MaxRequests - len(n.requests)
 	if room <= 0 {
 		return nil
 	}
@@ -31,43 +30,43 @@
 		if len(actions) == room {
 			break
 		}
-		if holder := n.holder(c.chunk, now); holder != nil {
-			n.asked[c.chunk] = ask{peer: holder.member.ID, since: now}
-			holder.asked++
+		if holder := n.pickHolder(c.chunk, now); holder != nil {
+			n.requests[c.chunk] = chunkRequest{peer: holder.member.ID, since: now}
+			holder.inFlight++
 			actions = append(actions, Action{Chunk: c.chunk, Peer: holder.member.ID})
 		}
 	}
 	return actions
 }
 
-// nextDraws chooses chunks to draw from the origin: those for which this box comes first, then by rank.
-func (n *Node) nextDraws(now time.Time) []Action {
+// nextDownloads chooses chunks to download from the origin, lowest rank first.
+func (n *Node) nextDownloads(now time.Time) []Action {
 	var actions []Action
-	for _, chunk := range n.drawable(now) {
-		if len(n.drawing) >= n.params.Draws {
+	for _, chunk := range n.downloadable(now) {
+		if len(n.downloading) >= n.params.MaxDownloads {
 			break
 		}
 		group := n.order.Group(chunk)
-		if n.wanted(chunk) && n.mayDraw(chunk, group, now) {
-			n.drawing[chunk] = true
+		if n.wanted(chunk) && n.mayDownload(chunk, group, now) {
+			n.downloading[chunk] = true
 			actions = append(actions, Action{Chunk: chunk, Draw: true, Rank: n.ranks[group]})
 		}
 	}
 	return actions
 }
 
-// drawable returns the chunks that may be this box's to draw: those planned, and all once nothing has come for long.
-func (n *Node) drawable(now time.Time) []int {
+// downloadable returns the chunks that this box may download: the planned ones, or all missing ones after a stall.
+func (n *Node) downloadable(now time.Time) []int {
 	for len(n.plan) > 0 && n.have[n.plan[0]] {
 		n.plan = n.plan[1:]
 	}
-	if !n.waited(1, now) {
+	if !n.rankDue(1, now) {
 		return n.plan
 	}
 	return n.Missing()
 }
 
-// makePlan lists the chunks that this box draws without waiting, the lowest rank first.
+// makePlan lists the chunks that this box downloads without delay, lowest rank first.
 func (n *Node) makePlan() {
 	n.plan = nil
 	for chunk := range n.have {
@@ -80,43 +79,42 @@
 	})
 }
 
-// mayDraw says whether this box's turn to draw a group has come. A later rank waits longer, and draws only
-// what no box it knows of holds; when time weighs more the first ranks need not wait.
-func (n *Node) mayDraw(chunk, group int, now time.Time) bool {
+// mayDownload reports whether this box may download a chunk now. Later ranks wait longer and download only chunks
+// that no peer holds; in a fleet that prefers time the first ranks do not wait.
+func (n *Node) mayDownload(chunk, group int, now time.Time) bool {
 	rank := n.ranks[group]
-	if rank < 0 || now.Before(n.closed[group]) || !n.knows(now) {
+	if rank < 0 || now.Before(n.blockedUntil[group]) || !n.knowsHoldings(now) {
 		return false
 	}
 	if n.planned(rank) && n.params.Prefer == fleet.PreferTime {
 		return true
 	}
-	return n.copies[chunk] == 0 && (n.planned(rank) || n.waited(rank, now))
+	return n.copies[chunk] == 0 && (n.planned(rank) || n.rankDue(rank, now))
 }
 
-// knows reports whether this box knows enough of the others to draw: one to which it has a link has told what it holds, there is
-// none, or it has waited for long. A box that is replaced would otherwise draw what its neighbours hold, also in the moment in
-// which the link on which it was told gives way to another.
-func (n *Node) knows(now time.Time) bool {
-	if len(n.order.members) < 2 || now.Sub(n.began) >= n.params.RankWait {
+// knowsHoldings reports whether a linked peer has announced its chunks, there are no others, or RankWait has passed.
+// Otherwise a replaced box would download chunks that its neighbours hold, also while a link is being replaced.
+func (n *Node) knowsHoldings(now time.Time) bool {
+	if len(n.order.members) < 2 || now.Sub(n.started) >= n.params.RankWait {
 		return true
 	}
 	for _, p := range n.peers {
-		if p.told {
+		if p.announced {
 			return true
 		}
 	}
 	return false
 }
 
-// planned reports whether a box of that rank draws a group without waiting.
+// planned reports whether a box of this rank downloads a group without delay.
 func (n *Node) planned(rank int) bool {
 	if n.params.Prefer == fleet.PreferTime {
-		return rank < timeRanks
+		return rank < immediateRanks
 	}
 	return rank == 0
 }
 
-// candidates returns the missing chunks that a linked box holds, in the order in which to ask for them.
+// candidates returns the missing chunks that a peer holds, in request order.
 func (n *Node) candidates(now time.Time) []candidate {
 	var found []candidate
 	for chunk := range n.have {
@@ -131,47 +129,47 @@
 		rank := n.ranks[group]
 		found = append(found, candidate{
 			chunk: chunk, copies: copies,
-			last: rank >= 0 && n.planned(rank) && !now.Before(n.closed[group]),
-			tie:  score(n.params.Self.ID, uint64(chunk), ""),
+			deferred: rank >= 0 && n.planned(rank) && !now.Before(n.blockedUntil[group]),
+			tiebreak: score(n.params.Self.ID, uint64(chunk), ""),
 		})
 	}
 	slices.SortFunc(found, compareCandidates)
 	return found
 }
 
-// compareCandidates puts the last ones last, and of the others and of these the least loaded and then the rarest first.
+// compareCandidates orders by deferred, then load, then rarity.
 func compareCandidates(a, b candidate) int {
-	if a.last != b.last {
-		if a.last {
+	if a.deferred != b.deferred {
+		if a.deferred {
 			return 1
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.copies, b.copies), cmp.Compare(a.tie, b.tie))
+	return cmp.Or(cmp.Compare(a.load, b.load), cmp.Compare(a.copies, b.copies), cmp.Compare(a.tiebreak, b.tiebreak))
 }
 
-// holder returns the box to ask for a chunk: one of the own site first; another site only when it is this
-// box's part to fetch the chunk across, so that a chunk crosses a thin link once.
-func (n *Node) holder(chunk int, now time.Time) *peer {
+// pickHolder returns the peer to request a chunk from. Another site is used only when this box is due to fetch the chunk
+// across sites, so that the chunk crosses a narrow link once.
+func (n *Node) pickHolder(chunk int, now time.Time) *peer {
 	holders := n.holders(chunk, now)
 	near := slices.DeleteFunc(slices.Clone(holders), func(p *peer) bool { return p.member.Site != n.params.Self.Site })
 	if len(near) > 0 {
-		return lighter(near)
+		return lessLoaded(near)
 	}
-	if !n.mayCross(chunk, now) {
+	if !n.mayFetchCrossSite(chunk, now) {
 		return nil
 	}
-	return lighter(holders)
+	return lessLoaded(holders)
 }
 
-// mayCross says whether this box's turn to fetch a chunk from another site has come.
-func (n *Node) mayCross(chunk int, now time.Time) bool {
-	place := n.places[n.order.Group(chunk)]
-	return n.near[chunk] == 0 && place >= 0 && n.waited(place, now)
+// mayFetchCrossSite reports whether this box is due to fetch a chunk from another site.
+func (n *Node) mayFetchCrossSite(chunk int, now time.Time) bool {
+	rank := n.siteRanks[n.order.Group(chunk)]
+	return n.siteCopies[chunk] == 0 && rank >= 0 && n.rankDue(rank, now)
 }
 
-// CrossLinks returns the boxes of other sites to which this box needs a link: the sources of the groups it is
-// home of, and stand-ins for those whose home has not delivered in time.
+// CrossLinks returns the boxes of other sites to link to: the sources of the groups for which this box is its site's
+// gateway, and of those whose gateway has not delivered in time.
 func (n *Node) CrossLinks(now time.Time) []Member {
 	seen := make(map[string]bool)
 	var links []Member
@@ -179,7 +177,7 @@
 		if n.groupHeld(group) {
 			continue
 		}
-		if n.places[group] < 0 || !n.waited(n.places[group], now) {
+		if n.siteRanks[group] < 0 || !n.rankDue(n.siteRanks[group], now) {
 			continue
 		}
 		for _, member := range n.order.Sources(group, n.params.Self.Site) {
@@ -192,17 +190,16 @@
 	return links
 }
 
-// maxRankWaits bounds how many times RankWait a late rank waits.
+// maxRankWaits bounds the delay of late ranks, in multiples of RankWait.
 const maxRankWaits = 8
 
-// waited reports whether nothing new has been seen for as long as a rank has to wait. While chunks still come,
-// those in front are at work and a later rank must not draw or fetch the same again.
-func (n *Node) waited(rank int, now time.Time) bool {
-	wait := max(n.params.RankWait, patienceFactor*n.usual)
-	return now.Sub(n.news) >= time.Duration(min(rank, maxRankWaits))*wait
+// rankDue reports whether there has been no progress for the delay of a rank. While chunks still arrive, earlier ranks
+// are working and a later rank must not fetch the same chunks again.
+func (n *Node) rankDue(rank int, now time.Time) bool {
+	wait := max(n.params.RankWait, timeoutFactor*n.meanTime)
+	return now.Sub(n.lastProgress) >= time.Duration(min(rank, maxRankWaits))*wait
 }
 
-// groupHeld reports whether all chunks of a group are held.
 func (n *Node) groupHeld(group int) bool {
 	for chunk := group * n.order.chunks / n.order.Groups(); chunk < len(n.have) && n.order.Group(chunk) <= group; chunk++ {
 		if n.order.Group(chunk) == group && !n.have[chunk] {
--- a/swarm/doc.go
+++ b/swarm/doc.go
@@ -1,9 +1,4 @@
-// Package swarm decides how the boxes of a fleet get one version's chunks: which
-// chunk next, from which box, and when from the origin. A Node takes a version of
-// many chunks at its own time; a Feed takes one of few pieces while all boxes take
-// them, draws by a schedule that follows the origin's link, and asks for as much
-// at a time as its own link carries. An Order, alike at every box, says who draws
-// what and who takes it across to each site. The package is pure: it opens no
-// sockets, starts nothing and is told the time, so that the same code runs on
-// real links and in tests with hundreds of boxes.
+// Package swarm decides which chunk of a version a box fetches next, from which peer, and when from the origin.
+// A Node schedules a version of many chunks, a Feed one of few pieces that all boxes fetch at the same time; an Order
+// assigns each chunk group's download and cross-site transfers. It does no I/O and takes the time as an argument.
 package swarm
--- a/swarm/feed.go
+++ b/swarm/feed.go
@@ -2,57 +2,55 @@
 
 import "time"
 
-// Feed is one box's view of one version of few pieces that all boxes take at the same time. Each piece has one drawer and
-// in each site one home that takes it across, both by the order; a box asks those of its site that hold a piece, a home
-// also those elsewhere, and later ranks stand in when nothing comes. Draws follow a schedule by the origin's link, and
-// what is asked for at a time follows what the own link carries. It is not safe for concurrent use.
+// Feed schedules one box's transfer of a version of few pieces that all boxes fetch at the same time. Downloads follow a
+// schedule paced by the origin's link, and requests a window adapted to the box's own link.
+// It is not safe for concurrent use.
 type Feed struct {
 	params FeedParams
 	self   Member
 	order  *Order
-	// places are this box's places for each group, among all boxes and among those of its site.
-	places  [][2]int
+	// ranks are this box's ranks for each group: among all boxes and within its site.
+	ranks   [][2]int
 	have    []bool
 	missing int
 	peers   map[string]*feedPeer
-	// asks are the pieces asked of other boxes, drawing those that are drawn.
-	asks    map[int]feedAsk
-	drawing map[int]bool
-	// retries are when pieces are drawn again that the origin could not be asked for.
-	retries map[int]time.Time
-	// away says that the origin could not be reached and nothing has come since, back is when something came then, leftThen how
-	// many pieces nobody held.
-	away     bool
-	back     time.Time
-	leftThen int
-	// came counts the pieces that came, the first of them at firstCame.
-	came      int
-	firstCame time.Time
-	// heard are when this box first heard that some box holds a piece; late is how much later than their slot it usually
-	// hears of drawn ones.
-	heard []time.Time
-	late  time.Duration
-	// room is how many pieces may be asked for and drawn at a time now, shrunk when it last became less.
-	room   int
-	shrunk time.Time
-	// stalls counts how often in a row asks were given up while nothing came at all; news is when the last piece came.
-	stalls int
-	news   time.Time
-	// way is how long a piece usually takes from its ask.
-	way   time.Duration
-	began time.Time
-	salt  uint64
+	// requests are the pieces requested from peers, downloading those being downloaded from the origin.
+	requests    map[int]pieceRequest
+	downloading map[int]bool
+	// retryAt is when a piece is downloaded again after the origin was unreachable.
+	retryAt map[int]time.Time
+	// originDown is set when the origin is unreachable, until a piece arrives: then originUpAt is that time and backlog the
+	// number of pieces that no box held.
+	originDown bool
+	originUpAt time.Time
+	backlog    int
+	// received counts the pieces received, the first of them at firstReceived.
+	received      int
+	firstReceived time.Time
+	// firstSeen is when a piece was first known to be held by any box; meanLag is the mean delay from a piece's slot to that.
+	firstSeen []time.Time
+	meanLag   time.Duration
+	// window bounds the requests and downloads in flight; it last shrank at shrunkAt.
+	window   int
+	shrunkAt time.Time
+	// stalls counts consecutive request timeouts without any piece; lastReceived is when the last piece arrived.
+	stalls       int
+	lastReceived time.Time
+	// meanLatency is the mean time from a request to its piece.
+	meanLatency time.Duration
+	started     time.Time
+	salt        uint64
 }
 
-// NewFeed returns a feed of a box that already holds the pieces in have.
+// NewFeed returns a feed for a box that already holds the pieces in have.
 func NewFeed(params FeedParams, self Member, order *Order, have []int, now time.Time) *Feed {
 	f := &Feed{
-		params: params.withDefaults(), self: self, have: make([]bool, order.chunks), heard: make([]time.Time, order.chunks), missing: order.chunks,
-		peers: make(map[string]*feedPeer), asks: make(map[int]feedAsk), drawing: make(map[int]bool),
-		retries: make(map[int]time.Time), room: firstAsks, late: firstLate, began: now, news: now, salt: score(self.ID, 0, self.Site),
+		params: params.withDefaults(), self: self, have: make([]bool, order.chunks), firstSeen: make([]time.Time, order.chunks), missing: order.chunks,
+		peers: make(map[string]*feedPeer), requests: make(map[int]pieceRequest), downloading: make(map[int]bool),
+		retryAt: make(map[int]time.Time), window: initialWindow, meanLag: initialLag, started: now, lastReceived: now, salt: score(self.ID, 0, self.Site),
 	}
 	for _, piece := range have {
-		f.hold(piece)
+		f.markHeld(piece)
 	}
 	f.Reorder(order)
 	return f
@@ -61,33 +59,33 @@
 // Complete reports whether all pieces are held.
 func (f *Feed) Complete() bool { return f.missing == 0 }
 
-// Got says that a piece came and was verified; from is empty when it was drawn, waited is how long its giver had others to
-// give first. It returns the box that was asked for it in vain, empty when there is none.
-func (f *Feed) Got(piece int, from string, waited time.Duration, now time.Time) (asked string) {
-	if a, ok := f.asks[piece]; ok {
+// Got records that a piece arrived and was verified; from is empty for the origin, queued is how long the request waited
+// at the sender. It returns the peer that was asked for the piece but did not send it first, or an empty string.
+func (f *Feed) Got(piece int, from string, queued time.Duration, now time.Time) (asked string) {
+	if a, ok := f.requests[piece]; ok {
 		if a.peer == from {
-			f.adapt(from, now.Sub(a.since)-waited, now)
+			f.adaptWindow(from, now.Sub(a.since)-queued, now)
 		} else {
-			// It came after all, from a box that was given up too early or from the origin: the own link may be slow.
+			// It arrived from a peer that timed out too early or from the origin: the own link may be slow.
 			asked = a.peer
-			f.shrink(now)
+			f.shrinkWindow(now)
 		}
 		f.release(piece, a.peer)
 	}
-	delete(f.drawing, piece)
-	f.hear(piece, now)
-	f.news, f.stalls = now, 0
-	if f.away {
-		f.away, f.back, f.leftThen = false, now, f.undrawn()
+	delete(f.downloading, piece)
+	f.recordSeen(piece, now)
+	f.lastReceived, f.stalls = now, 0
+	if f.originDown {
+		f.originDown, f.originUpAt, f.backlog = false, now, f.unheldPieces()
 	}
-	if f.came == 0 {
-		f.firstCame = now
+	if f.received == 0 {
+		f.firstReceived = now
 	}
-	f.came++
+	f.received++
 	if p := f.peers[from]; p != nil {
-		p.came = now
+		p.lastReceived = now
 	}
-	f.hold(piece)
+	f.markHeld(piece)
 	return asked
 }
 
@@ -108,19 +106,19 @@
 // Holds reports whether a piece is held.
 func (f *Feed) Holds(piece int) bool { return f.have[piece] }
 
-// Left returns how long the missing pieces are likely to take, by how long the others took; known is false as long as none
-// has come.
+// Left estimates the time for the missing pieces from the pace so far; known is false before the first piece and while
+// the origin is unreachable.
 func (f *Feed) Left(now time.Time) (left time.Duration, known bool) {
 	switch {
 	case f.Complete():
 		return 0, true
-	case f.came == 0 || f.away:
+	case f.received == 0 || f.originDown:
 		return 0, false
 	}
-	return now.Sub(f.firstCame) * time.Duration(f.missing) / time.Duration(f.came), true
+	return now.Sub(f.firstReceived) * time.Duration(f.missing) / time.Duration(f.received), true
 }
 
-// Lost says that a held piece turned out bad or gone.
+// Lost records that a held piece is corrupt or gone.
 func (f *Feed) Lost(piece int) {
 	if f.have[piece] {
 		f.have[piece] = false
@@ -128,32 +126,32 @@
 	}
 }
 
-// Next returns what to do now and marks it as being done.
+// Next returns the actions to start now and records them as in progress.
 func (f *Feed) Next(now time.Time) []Action {
 	if f.Complete() {
 		return nil
 	}
 	actions := f.expire(now)
-	actions = append(actions, f.nextDraws(now)...)
-	return append(actions, f.nextAsks(now)...)
+	actions = append(actions, f.nextDownloads(now)...)
+	return append(actions, f.nextRequests(now)...)
 }
 
-// Reorder takes a new order after boxes came or went.
+// Reorder replaces the order after a change of the fleet's members.
 func (f *Feed) Reorder(order *Order) {
 	f.order = order
-	f.places = make([][2]int, order.Groups())
-	for group := range f.places {
-		all, site := order.Places(group, f.self)
-		f.places[group] = [2]int{all, site}
+	f.ranks = make([][2]int, order.Groups())
+	for group := range f.ranks {
+		all, site := order.Ranks(group, f.self)
+		f.ranks[group] = [2]int{all, site}
 	}
 }
 
 func (f *Feed) wanted(piece int) bool {
-	_, asked := f.asks[piece]
-	return !f.have[piece] && !asked && !f.drawing[piece]
+	_, requested := f.requests[piece]
+	return !f.have[piece] && !requested && !f.downloading[piece]
 }
 
-func (f *Feed) hold(piece int) {
+func (f *Feed) markHeld(piece int) {
 	if !f.have[piece] {
 		f.have[piece] = true
 		f.missing--
--- a/swarm/feed_test.go
+++ b/swarm/feed_test.go
@@ -5,51 +5,50 @@
 	"time"
 )
 
-// feedTest is boxes at the start, what disturbs them, and the most that the spreading may cost.
+// feedTest is a rollout with its disturbances and limits.
 type feedTest struct {
 	boxes, sites int
 	have         func(Member) []int
-	harm         func(w *feedWorld)
+	disturb      func(w *feedSim)
 	limit        time.Duration
-	draws        int
-	crossed      int
+	maxDownloads int
+	maxCrossings int
 }
 
-// feedTests are the ways in which boxes may start and be disturbed.
 var feedTests = map[string]feedTest{
 	"all empty, undisturbed": {
-		boxes: 20, sites: 3, have: nothing, limit: 3600 * time.Millisecond, draws: feedPieces, crossed: 2*feedPieces + 16,
+		boxes: 20, sites: 3, have: holdsNone, limit: 3600 * time.Millisecond, maxDownloads: feedPieces, maxCrossings: 2*feedPieces + 16,
 	},
 	"many boxes, undisturbed": {
-		boxes: 76, sites: 3, have: nothing, limit: 4 * time.Second, draws: feedPieces + 2, crossed: 2*feedPieces + 16,
+		boxes: 76, sites: 3, have: holdsNone, limit: 4 * time.Second, maxDownloads: feedPieces + 2, maxCrossings: 2*feedPieces + 16,
 	},
 	"hundreds of boxes, undisturbed": {
-		boxes: 204, sites: 5, have: nothing, limit: 3600 * time.Millisecond, draws: feedPieces + 2, crossed: 4*feedPieces + 32,
+		boxes: 204, sites: 5, have: holdsNone, limit: 3600 * time.Millisecond, maxDownloads: feedPieces + 2, maxCrossings: 4*feedPieces + 32,
 	},
-	"one site": {boxes: 5, sites: 1, have: nothing, limit: 4 * time.Second, draws: feedPieces},
+	"one site": {boxes: 5, sites: 1, have: holdsNone, limit: 4 * time.Second, maxDownloads: feedPieces},
 	"one box alone": {
-		boxes: 1, sites: 1, have: nothing, limit: 3 * time.Second, draws: feedPieces,
+		boxes: 1, sites: 1, have: holdsNone, limit: 3 * time.Second, maxDownloads: feedPieces,
 	},
-	"eight new among twelve that hold all draw nothing": {
+	"eight new among twelve complete boxes download nothing": {
 		boxes: 20, sites: 3, limit: 4 * time.Second,
 		have: func(m Member) []int {
 			if m.ID < "b012" {
-				return everything()
+				return allPieces()
 			}
 			return nil
 		},
 	},
 	"two boxes die unseen": {
-		boxes: 20, sites: 3, have: nothing, limit: 9 * time.Second, draws: 2 * feedPieces, crossed: 4 * feedPieces,
-		harm: func(w *feedWorld) { w.dead["b003"], w.dead["b007"] = true, true },
+		boxes: 20, sites: 3, have: holdsNone, limit: 9 * time.Second, maxDownloads: 2 * feedPieces, maxCrossings: 4 * feedPieces,
+		disturb: func(w *feedSim) { w.dead["b003"], w.dead["b007"] = true, true },
 	},
-	"a giver of spoilt pieces": {
-		boxes: 12, sites: 3, have: nothing, limit: 9 * time.Second, draws: 2 * feedPieces, crossed: 5 * feedPieces,
-		harm: func(w *feedWorld) { w.spoils["b002"] = true },
+	"a peer that sends corrupt pieces": {
+		boxes: 12, sites: 3, have: holdsNone, limit: 9 * time.Second, maxDownloads: 2 * feedPieces, maxCrossings: 5 * feedPieces,
+		disturb: func(w *feedSim) { w.corrupts["b002"] = true },
 	},
 	"two boxes on squeezed links": {
-		boxes: 12, sites: 3, have: nothing, limit: 40 * time.Second, draws: 2 * feedPieces, crossed: 5 * feedPieces,
-		harm: func(w *feedWorld) {
+		boxes: 12, sites: 3, have: holdsNone, limit: 40 * time.Second, maxDownloads: 2 * feedPieces, maxCrossings: 5 * feedPieces,
+		disturb: func(w *feedSim) {
 			w.slow["b001"], w.slow["b005"] = 270*time.Millisecond, 270*time.Millisecond
 		},
 	},
@@ -58,33 +57,33 @@
 func TestFeedSpreads(t *testing.T) {
 	for name, test := range feedTests {
 		t.Run(name, func(t *testing.T) {
-			w := newFeedWorld(testMembers(test.boxes, test.sites), feedPieces, test.have)
-			if test.harm != nil {
-				test.harm(w)
+			w := newFeedSim(testMembers(test.boxes, test.sites), feedPieces, test.have)
+			if test.disturb != nil {
+				test.disturb(w)
 			}
 			took := w.run(t, test.limit)
-			t.Logf("%s, %d drawn, %d crossed, %d twice", took, w.draws, w.crossed, w.twice)
-			if w.draws > test.draws {
-				t.Errorf("%d pieces drawn, want at most %d", w.draws, test.draws)
+			t.Logf("%s, %d downloaded, %d crossed sites, %d duplicates", took, w.downloads, w.crossings, w.duplicates)
+			if w.downloads > test.maxDownloads {
+				t.Errorf("%d pieces downloaded, want at most %d", w.downloads, test.maxDownloads)
 			}
-			if w.crossed > test.crossed {
-				t.Errorf("%d pieces crossed between sites, want at most %d", w.crossed, test.crossed)
+			if w.crossings > test.maxCrossings {
+				t.Errorf("%d pieces crossed between sites, want at most %d", w.crossings, test.maxCrossings)
 			}
 		})
 	}
 }
 
 func TestFeedFetchesLostPiecesAgain(t *testing.T) {
-	w := newFeedWorld(testMembers(6, 2), feedPieces, nothing)
+	w := newFeedSim(testMembers(6, 2), feedPieces, holdsNone)
 	w.run(t, 6*time.Second)
-	drawn := w.draws
+	before := w.downloads
 	w.feeds["b002"].Lost(7)
 	if w.feeds["b002"].Complete() {
 		t.Fatal("a lost piece is still held")
 	}
 	w.run(t, 12*time.Second)
-	if w.draws != drawn {
-		t.Errorf("%d pieces drawn again though others hold them", w.draws-drawn)
+	if w.downloads != before {
+		t.Errorf("%d pieces downloaded again though others hold them", w.downloads-before)
 	}
 }
 
@@ -93,53 +92,52 @@
 	f := NewFeed(FeedParams{}, members[0], NewOrder("salt", feedPieces, members), nil, testStart)
 	for _, member := range members[1:] {
 		f.Peer(member)
-		f.PeerHas(member.ID, true, toPieces(everything()), 0, testStart)
+		f.PeerHas(member.ID, true, toPieces(allPieces()), 0, testStart)
 	}
-	now, asked := testStart, 0
+	now, requests := testStart, 0
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		for _, action := range f.Next(now) {
 			if !action.Drop && !action.Draw {
-				asked++
+				requests++
 			}
 		}
 	}
-	if asked > 8 {
-		t.Errorf("%d pieces asked for in 4 s in which none came, want at most 8", asked)
+	if requests > 8 {
+		t.Errorf("%d pieces requested in 4 s without any response, want at most 8", requests)
 	}
 }
 
 func TestFeedDrawsInTurnOnceTheOriginIsBack(t *testing.T) {
-	const away = 3 * time.Second
-	w := newFeedWorld(testMembers(76, 3), feedPieces, nothing)
-	w.back = testStart.Add(away)
-	took := w.run(t, away+4500*time.Millisecond)
-	t.Logf("%s, %d drawn, %s at the origin at most", took, w.draws, w.crowd)
-	if w.draws > feedPieces+feedPieces/4 {
-		t.Errorf("%d pieces drawn, want about %d", w.draws, feedPieces)
+	const outage = 3 * time.Second
+	w := newFeedSim(testMembers(76, 3), feedPieces, holdsNone)
+	w.originUpAt = testStart.Add(outage)
+	took := w.run(t, outage+4500*time.Millisecond)
+	t.Logf("%s, %d downloaded, origin queue at most %s", took, w.downloads, w.maxOriginQueue)
+	if w.downloads > feedPieces+feedPieces/4 {
+		t.Errorf("%d pieces downloaded, want about %d", w.downloads, feedPieces)
 	}
-	if w.crowd > 12*drawTime {
-		t.Errorf("%s of pieces asked of the origin at a time", w.crowd)
+	if w.maxOriginQueue > 12*originTime {
+		t.Errorf("origin queue reached %s", w.maxOriginQueue)
 	}
 }
 
-// TestFeedLeavesASqueezedLinkRoom proves that what a box asks for does not stand on its link for seconds before requests, once
-// what was on its way when the link narrowed has come.
+// TestFeedLeavesASqueezedLinkRoom checks that pieces do not queue on a narrowed link for long before callers' requests.
 func TestFeedLeavesASqueezedLinkRoom(t *testing.T) {
 	const squeezed, settled = time.Second, 4 * time.Second
-	w := newFeedWorld(testMembers(20, 3), feedPieces, nothing)
-	jam := time.Duration(0)
+	w := newFeedSim(testMembers(20, 3), feedPieces, holdsNone)
+	queue := time.Duration(0)
 	for w.now.Sub(testStart) < 12*time.Second {
 		if w.now.Sub(testStart) >= squeezed {
 			w.slow["b003"] = 276 * time.Millisecond
 		}
 		w.step()
 		if w.now.Sub(testStart) > settled {
-			jam = max(jam, w.in["b003"].Sub(w.now))
+			queue = max(queue, w.downlinkBusyUntil["b003"].Sub(w.now))
 		}
 	}
-	t.Logf("%s before a request at most, %d twice, %d held", jam, w.twice, w.feeds["b003"].Have())
-	if jam > 900*time.Millisecond {
-		t.Errorf("%s of pieces stand before a request", jam)
+	t.Logf("queue at most %s, %d duplicates, %d held", queue, w.duplicates, w.feeds["b003"].Have())
+	if queue > 900*time.Millisecond {
+		t.Errorf("pieces queued for %s before a request", queue)
 	}
 }
--- a/swarm/feedask.go
+++ b/swarm/feedask.go
@@ -6,69 +6,68 @@
 	"time"
 )
 
-// feedAsk is a piece asked of a box.
-type feedAsk struct {
+type pieceRequest struct {
 	peer  string
 	since time.Time
 }
 
-// Failed says that a box will not give a piece now, or gave a bad one; it is not asked for a while.
+// Failed records that a peer declined a request or sent a corrupt piece; the peer is paused.
 func (f *Feed) Failed(piece int, from string, now time.Time) {
 	f.release(piece, from)
 	if p := f.peers[from]; p != nil {
 		p.have[piece] = false
-		p.rest = now.Add(faultRest)
+		p.pausedUntil = now.Add(faultPause)
 	}
 }
 
-// adapt lets as many pieces be asked for at a time as come soon after they left. The first slow one from a box may be
-// its own link's fault: then the box is set aside.
-func (f *Feed) adapt(from string, way time.Duration, now time.Time) {
-	f.way += time.Duration(smoothing * float64(way-f.way))
+// adaptWindow grows the window after a fast piece and shrinks it after a slow one. A slow piece also marks its peer as slow,
+// since the peer's link may be the cause.
+func (f *Feed) adaptWindow(from string, latency time.Duration, now time.Time) {
+	f.meanLatency += time.Duration(ewmaWeight * float64(latency-f.meanLatency))
 	switch {
-	case way < quickPiece:
-		f.room = min(f.room+1, f.params.Asks)
-	case way > slowPiece:
-		if p := f.peers[from]; p != nil && !now.Before(p.slow) {
-			p.slow = now.Add(slowRest)
+	case latency < lowLatency:
+		f.window = min(f.window+1, f.params.MaxRequests)
+	case latency > highLatency:
+		if p := f.peers[from]; p != nil && !now.Before(p.slowUntil) {
+			p.slowUntil = now.Add(slowPause)
 		}
-		f.shrink(now)
+		f.shrinkWindow(now)
 	}
 }
 
-// shrink takes a third of the asks at a time, once for what was on its way together.
-func (f *Feed) shrink(now time.Time) {
-	if now.Sub(f.shrunk) > shrinkPause {
-		f.room, f.shrunk = max(f.room*2/3, 1), now
+// shrinkWindow reduces the window by a third, once for pieces that were in flight together.
+func (f *Feed) shrinkWindow(now time.Time) {
+	if now.Sub(f.shrunkAt) > shrinkInterval {
+		f.window, f.shrunkAt = max(f.window*2/3, 1), now
 	}
 }
 
-// patience is how long a box that was asked may send nothing, longer while all pieces take long.
-func (f *Feed) patience() time.Duration {
-	return max(f.params.HolderPatience, patienceFactor/2*f.way) * time.Duration(1+f.stalls)
+// requestTimeout is how long a peer with requests may send nothing; it grows with the latency and with consecutive stalls.
+func (f *Feed) requestTimeout() time.Duration {
+	return max(f.params.RequestTimeout, timeoutFactor/2*f.meanLatency) * time.Duration(1+f.stalls)
 }
 
-// expire gives up asks that a box does not answer, and leaves the box alone for a while. When nothing at all comes, the
-// fault may be the own link's, on which what was asked for still waits: then as little as possible is asked for again.
+// expire cancels requests that timed out and pauses their peers. When nothing arrives at all, the own link may be congested
+// with pieces already requested: then the window shrinks to one.
 func (f *Feed) expire(now time.Time) []Action {
 	var actions []Action
-	stalled := now.Sub(f.news) > f.params.HolderPatience
-	for piece, a := range f.asks {
+	stalled := now.Sub(f.lastReceived) > f.params.RequestTimeout
+	for piece, a := range f.requests {
 		p := f.peers[a.peer]
 		if p == nil {
-			delete(f.asks, piece)
+			delete(f.requests, piece)
 			continue
 		}
-		if now.Sub(later(a.since, p.came)) <= f.patience() {
+		if now.Sub(later(a.since, p.lastReceived)) <= f.requestTimeout() {
 			continue
 		}
 		f.release(piece, a.peer)
-		p.rest = now.Add(faultRest)
-		p.slow = now.Add(slowRest)
+		p.pausedUntil = now.Add(faultPause)
+		p.slowUntil = now.Add(slowPause)
 		actions = append(actions, Action{Chunk: piece, Peer: a.peer, Drop: true})
 	}
 	if stalled && len(actions) > 0 {
-		f.room = 1
+		f.window = 1
 		f.stalls = min(f.stalls+1, maxStalls)
 	}
 	return actions
@@ -81,30 +80,30 @@
 	return b
 }
 
-// waited reports whether nothing has come for as long as a rank has to wait.
-func (f *Feed) waited(rank int, now time.Time) bool {
-	return now.Sub(f.news) >= time.Duration(min(rank, maxRankWaits))*f.params.Patience
+// rankDue reports whether no piece has arrived for the delay of a rank.
+func (f *Feed) rankDue(rank int, now time.Time) bool {
+	return now.Sub(f.lastReceived) >= time.Duration(min(rank, maxRankWaits))*f.params.RankDelay
 }
 
-// nextAsks chooses pieces to ask for: those that this box takes across for its site first, then those of the least loaded
-// holders, of these the rarest. By rarity alone all boxes of a site would ask the one holder of the newest piece.
-func (f *Feed) nextAsks(now time.Time) []Action {
-	room := f.room - len(f.asks) - len(f.drawing)
-	if len(f.asks) == 0 && room <= 0 {
-		room = 1
+// nextRequests chooses pieces to request: first those that this box fetches across sites, then by least loaded holder, then
+// by rarity. By rarity alone all boxes of a site would ask the one holder of the newest piece.
+func (f *Feed) nextRequests(now time.Time) []Action {
+	free := f.window - len(f.requests) - len(f.downloading)
+	if len(f.requests) == 0 && free <= 0 {
+		free = 1
 	}
-	if room <= 0 {
+	if free <= 0 {
 		return nil
 	}
 	found := f.candidates(now)
 	var actions []Action
 	for _, c := range found {
-		if len(actions) == room {
+		if len(actions) == free {
 			break
 		}
-		if p := f.holder(c.chunk, now); p != nil {
-			f.asks[c.chunk] = feedAsk{peer: p.member.ID, since: now}
-			p.asked++
+		if p := f.pickHolder(c.chunk, now); p != nil {
+			f.requests[c.chunk] = pieceRequest{peer: p.member.ID, since: now}
+			p.inFlight++
 			actions = append(actions, Action{Chunk: c.chunk, Peer: p.member.ID})
 		}
 	}
@@ -117,17 +116,17 @@
 		if !f.wanted(piece) {
 			continue
 		}
-		copies, near, load := 0, false, math.MaxInt
+		copies, inSite, load := 0, false, math.MaxInt
 		for _, p := range f.peers {
-			if p.have[piece] && !now.Before(p.rest) {
+			if p.have[piece] && !now.Before(p.pausedUntil) {
 				copies++
 				load = min(load, p.load())
-				near = near || p.member.Site == f.self.Site && !now.Before(p.slow)
+				inSite = inSite || p.member.Site == f.self.Site && !now.Before(p.slowUntil)
 			}
 		}
-		if copies > 0 && (near || f.mayCross(piece, now)) {
+		if copies > 0 && (inSite || f.mayFetchCrossSite(piece, now)) {
 			found = append(found, candidate{
-				chunk: piece, load: load, copies: copies, last: near, tie: score(f.self.ID, uint64(piece), ""),
+				chunk: piece, load: load, copies: copies, deferred: inSite, tiebreak: score(f.self.ID, uint64(piece), ""),
 			})
 		}
 	}
@@ -135,17 +134,17 @@
 	return found
 }
 
-// mayCross says whether this box's turn to fetch a piece from another site has come.
-func (f *Feed) mayCross(piece int, now time.Time) bool {
-	place := f.places[f.order.Group(piece)][1]
-	return place == 0 || place > 0 && f.waited(place, now)
+// mayFetchCrossSite reports whether this box is due to fetch a piece from another site.
+func (f *Feed) mayFetchCrossSite(piece int, now time.Time) bool {
+	rank := f.ranks[f.order.Group(piece)][1]
+	return rank == 0 || rank > 0 && f.rankDue(rank, now)
 }
 
 func (f *Feed) release(piece int, from string) {
-	if a, ok := f.asks[piece]; ok && a.peer == from {
-		delete(f.asks, piece)
+	if a, ok := f.requests[piece]; ok && a.peer == from {
+		delete(f.requests, piece)
 		if p := f.peers[from]; p != nil {
-			p.asked--
+			p.inFlight--
 		}
 	}
 }
--- a/swarm/feedbench_test.go
+++ b/swarm/feedbench_test.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// BenchmarkFeed plays a version on fleets of several sizes in virtual time and tells, beside the processor time of all decisions, how
-// long the fill takes, how many messages tell of a piece at a box, and how many copies are drawn. With all boxes of a site as
-// partners 204 boxes took 4.0 s in the median and 41 messages a piece and box at most.
+// BenchmarkFeed simulates rollouts in virtual time and reports, besides CPU time, fill times, announcements per piece and box,
+// and downloaded copies.
 func BenchmarkFeed(b *testing.B) {
 	for _, size := range []struct{ boxes, sites int }{{20, 3}, {76, 3}, {204, 5}, {1000, 11}} {
 		b.Run(fmt.Sprint(size.boxes), func(b *testing.B) {
 			for b.Loop() {
-				w := newFeedWorld(testMembers(size.boxes, size.sites), feedPieces, nothing)
+				w := newFeedSim(testMembers(size.boxes, size.sites), feedPieces, holdsNone)
 				var done []time.Duration
 				complete := make(map[string]bool)
 				for len(done) < size.boxes && w.now.Sub(testStart) < 20*time.Second {
@@ -29,8 +28,8 @@
 				slices.Sort(done)
 				b.ReportMetric(done[len(done)/2].Seconds(), "s-median")
 				b.ReportMetric(done[len(done)-1].Seconds(), "s-last")
-				b.ReportMetric(float64(w.news)/float64(size.boxes*feedPieces), "news/piece")
-				b.ReportMetric(float64(w.draws)/feedPieces, "copies")
+				b.ReportMetric(float64(w.announcements)/float64(size.boxes*feedPieces), "news/piece")
+				b.ReportMetric(float64(w.downloads)/feedPieces, "copies")
 			}
 		})
 	}
--- a/swarm/feedfixture_test.go
+++ b/swarm/feedfixture_test.go
@@ -6,84 +6,81 @@
 	"time"
 )
 
-// The links of the tests: what a box's link and the origin's link take for a piece, and a message on its way.
+// The simulated times: of a piece on a box's link, of a piece on the origin's link, and of a message.
 const (
-	pieceTime = 37 * time.Millisecond
-	drawTime  = 26 * time.Millisecond
-	newsTime  = 8 * time.Millisecond
-	feedTick  = 2 * time.Millisecond
+	pieceTime    = 37 * time.Millisecond
+	originTime   = 26 * time.Millisecond
+	announceTime = 8 * time.Millisecond
+	simTick      = 2 * time.Millisecond
 )
 
-// feedWorld drives feeds in virtual time. Each box gives one piece after the other, those to other sites first, and takes
-// one after the other; news of pieces, with how many asks wait at their sender, comes a little later.
-type feedWorld struct {
-	now     time.Time
-	order   *Order
-	feeds   map[string]*Feed
-	dead    map[string]bool
-	spoils  map[string]bool
-	slow    map[string]time.Duration
-	asks    map[string][]feedWant
-	out, in map[string]time.Time
-	events  []feedEvent
-	// gone is from when on the origin cannot be reached, back from when on it can; crowd is the most draws that waited for its link at a time.
-	// until is when it can be reached again after it has gone, zero for never; silent is how long a draw hangs meanwhile. tried counts
-	// the draws that did not reach it.
-	gone    time.Time
-	back    time.Time
-	until   time.Time
-	silent  time.Duration
-	crowd   time.Duration
-	draws   int
-	tried   int
-	crossed int
-	twice   int
-	// news is how many messages told a partner of pieces.
-	news int
+// feedSim simulates feeds in virtual time. Each box sends and receives one piece at a time, requests of other sites first;
+// announcements arrive after a delay, with the sender's queue length.
+type feedSim struct {
+	now                                time.Time
+	order                              *Order
+	feeds                              map[string]*Feed
+	dead                               map[string]bool
+	corrupts                           map[string]bool
+	slow                               map[string]time.Duration
+	requests                           map[string][]simRequest
+	uplinkBusyUntil, downlinkBusyUntil map[string]time.Time
+	events                             []simEvent
+	// The origin is unreachable before originUpAt, and from originDownAt to originBackAt (zero: for good). downloadHang is how
+	// long a download hangs meanwhile, maxOriginQueue the longest queue of the origin's link.
+	originDownAt    time.Time
+	originUpAt      time.Time
+	originBackAt    time.Time
+	downloadHang    time.Duration
+	maxOriginQueue  time.Duration
+	downloads       int
+	failedDownloads int
+	crossings       int
+	duplicates      int
+	announcements   int
 }
 
-// feedWant is a piece that a box asked for.
-type feedWant struct {
-	to    string
-	piece int
-	far   bool
-	since time.Time
+type simRequest struct {
+	to        string
+	piece     int
+	crossSite bool
+	since     time.Time
 }
 
-type feedEvent struct {
-	at time.Time
-	do func()
+type simEvent struct {
+	at  time.Time
+	run func()
 }
 
-func newFeedWorld(members []Member, pieces int, have func(Member) []int) *feedWorld {
-	w := &feedWorld{
+func newFeedSim(members []Member, pieces int, have func(Member) []int) *feedSim {
+	w := &feedSim{
 		now: testStart, order: NewOrder("salt", pieces, members), feeds: make(map[string]*Feed),
-		dead: make(map[string]bool), spoils: make(map[string]bool), slow: make(map[string]time.Duration),
-		asks: make(map[string][]feedWant), out: make(map[string]time.Time), in: make(map[string]time.Time),
+		dead: make(map[string]bool), corrupts: make(map[string]bool), slow: make(map[string]time.Duration),
+		requests: make(map[string][]simRequest), uplinkBusyUntil: make(map[string]time.Time), downlinkBusyUntil: make(map[string]time.Time),
 	}
 	for _, member := range members {
-		w.feeds[member.ID] = NewFeed(FeedParams{DrawEvery: drawTime}, member, w.order, have(member), w.now)
+		w.feeds[member.ID] = NewFeed(FeedParams{DrawEvery: originTime}, member, w.order, have(member), w.now)
 	}
 	for _, member := range members {
-		w.meet(member)
+		w.link(member)
 	}
 	return w
 }
 
-// meet links a box with its partners and tells it what they hold.
-func (w *feedWorld) meet(member Member) {
+// link connects a box with its partners and announces their pieces to it.
+func (w *feedSim) link(member Member) {
 	for _, other := range w.order.Partners(member) {
 		w.feeds[member.ID].Peer(other)
 		w.feeds[member.ID].PeerHas(other.ID, true, w.feeds[other.ID].Held(), 0, w.now)
 	}
 }
 
-func (w *feedWorld) after(d time.Duration, do func()) {
-	w.events = append(w.events, feedEvent{w.now.Add(d), do})
+func (w *feedSim) after(d time.Duration, do func()) {
+	w.events = append(w.events, simEvent{w.now.Add(d), do})
 }
 
-func (w *feedWorld) step() {
-	w.now = w.now.Add(feedTick)
+func (w *feedSim) step() {
+	w.now = w.now.Add(simTick)
 	events := w.events
 	w.events = nil
 	for _, e := range events {
@@ -91,94 +88,93 @@
 			w.events = append(w.events, e)
 			continue
 		}
-		e.do()
+		e.run()
 	}
 	for _, member := range w.order.members {
 		if w.dead[member.ID] {
 			continue
 		}
 		for _, action := range w.feeds[member.ID].Next(w.now) {
-			w.act(member, action)
+			w.apply(member, action)
 		}
 	}
 }
 
-func (w *feedWorld) act(member Member, action Action) {
+func (w *feedSim) apply(member Member, action Action) {
 	switch {
 	case action.Drop:
-		w.asks[action.Peer] = slices.DeleteFunc(w.asks[action.Peer], func(a feedWant) bool {
+		w.requests[action.Peer] = slices.DeleteFunc(w.requests[action.Peer], func(a simRequest) bool {
 			return a.to == member.ID && a.piece == action.Chunk
 		})
-	case action.Draw && w.away():
-		w.tried++
-		w.after(w.silent, func() { w.feeds[member.ID].DrawUnreached(action.Chunk, w.now) })
+	case action.Draw && w.originDown():
+		w.failedDownloads++
+		w.after(w.downloadHang, func() { w.feeds[member.ID].DrawUnreached(action.Chunk, w.now) })
 	case action.Draw:
-		w.draws++
-		w.out["origin"] = later(w.now, w.out["origin"]).Add(drawTime)
-		w.crowd = max(w.crowd, w.out["origin"].Sub(w.now))
-		w.after(w.out["origin"].Sub(w.now), func() { w.arrive(member.ID, action.Chunk, "", 0) })
+		w.downloads++
+		w.uplinkBusyUntil["origin"] = later(w.now, w.uplinkBusyUntil["origin"]).Add(originTime)
+		w.maxOriginQueue = max(w.maxOriginQueue, w.uplinkBusyUntil["origin"].Sub(w.now))
+		w.after(w.uplinkBusyUntil["origin"].Sub(w.now), func() { w.deliver(member.ID, action.Chunk, "", 0) })
 	case !w.dead[action.Peer]:
-		want := feedWant{to: member.ID, piece: action.Chunk, far: w.site(action.Peer) != member.Site}
-		w.after(newsTime, func() {
-			want.since = w.now
-			w.asks[action.Peer] = append(w.asks[action.Peer], want)
-			w.give(action.Peer)
+		req := simRequest{to: member.ID, piece: action.Chunk, crossSite: w.site(action.Peer) != member.Site}
+		w.after(announceTime, func() {
+			req.since = w.now
+			w.requests[action.Peer] = append(w.requests[action.Peer], req)
+			w.sendNext(action.Peer)
 		})
 	}
 }
 
-// away reports whether the origin cannot be reached.
-func (w *feedWorld) away() bool {
-	return w.now.Before(w.back) || !w.gone.IsZero() && !w.now.Before(w.gone) && (w.until.IsZero() || w.now.Before(w.until))
+func (w *feedSim) originDown() bool {
+	return w.now.Before(w.originUpAt) || !w.originDownAt.IsZero() && !w.now.Before(w.originDownAt) && (w.originBackAt.IsZero() || w.now.Before(w.originBackAt))
 }
 
-// give sends the next piece that was asked of a box, unless one is on its way out.
-func (w *feedWorld) give(from string) {
-	if w.out[from].After(w.now) || len(w.asks[from]) == 0 || w.dead[from] {
+// sendNext sends the next piece requested from a box, unless its uplink is busy.
+func (w *feedSim) sendNext(from string) {
+	if w.uplinkBusyUntil[from].After(w.now) || len(w.requests[from]) == 0 || w.dead[from] {
 		return
 	}
-	i := max(slices.IndexFunc(w.asks[from], func(a feedWant) bool { return a.far }), 0)
-	a := w.asks[from][i]
-	w.asks[from] = slices.Delete(w.asks[from], i, i+1)
+	i := max(slices.IndexFunc(w.requests[from], func(a simRequest) bool { return a.crossSite }), 0)
+	a := w.requests[from][i]
+	w.requests[from] = slices.Delete(w.requests[from], i, i+1)
 	takes := max(pieceTime, w.slow[from], w.slow[a.to])
-	w.out[from] = w.now.Add(max(pieceTime, w.slow[from]))
-	w.in[a.to] = later(w.now, w.in[a.to]).Add(takes)
-	waited := w.now.Sub(a.since)
-	w.after(w.out[from].Sub(w.now), func() { w.give(from) })
-	w.after(w.in[a.to].Sub(w.now), func() { w.arrive(a.to, a.piece, from, waited) })
+	w.uplinkBusyUntil[from] = w.now.Add(max(pieceTime, w.slow[from]))
+	w.downlinkBusyUntil[a.to] = later(w.now, w.downlinkBusyUntil[a.to]).Add(takes)
+	queued := w.now.Sub(a.since)
+	w.after(w.uplinkBusyUntil[from].Sub(w.now), func() { w.sendNext(from) })
+	w.after(w.downlinkBusyUntil[a.to].Sub(w.now), func() { w.deliver(a.to, a.piece, from, queued) })
 }
 
-func (w *feedWorld) arrive(to string, piece int, from string, waited time.Duration) {
+func (w *feedSim) deliver(to string, piece int, from string, queued time.Duration) {
 	f := w.feeds[to]
 	switch {
 	case w.dead[to]:
 		return
-	case w.spoils[from]:
+	case w.corrupts[from]:
 		f.Failed(piece, from, w.now)
 		return
 	case f.Holds(piece):
-		w.twice++
+		w.duplicates++
 		return
 	case from != "" && w.site(from) != f.self.Site:
-		w.crossed++
+		w.crossings++
 	}
-	f.Got(piece, from, waited, w.now)
+	f.Got(piece, from, queued, w.now)
 	pieces := []uint32{uint32(piece)}
 	if f.Complete() {
 		pieces = f.Held()
 	}
-	queue := len(w.asks[to])
+	queue := len(w.requests[to])
 	for _, other := range w.order.members {
 		if other.ID != to && (other.Site == f.self.Site || f.Drawer(piece) || from == "" || f.Complete()) {
 			if w.feeds[other.ID].peers[to] != nil {
-				w.news++
+				w.announcements++
 			}
-			w.after(newsTime, func() { w.feeds[other.ID].PeerHas(to, false, pieces, queue, w.now) })
+			w.after(announceTime, func() { w.feeds[other.ID].PeerHas(to, false, pieces, queue, w.now) })
 		}
 	}
 }
 
-func (w *feedWorld) site(id string) string {
+func (w *feedSim) site(id string) string {
 	for _, member := range w.order.members {
 		if member.ID == id {
 			return member.Site
@@ -187,8 +183,8 @@
 	return ""
 }
 
-// run steps until all boxes that live hold all pieces, and returns how long that took.
-func (w *feedWorld) run(t *testing.T, limit time.Duration) time.Duration {
+// run steps until all live boxes hold all pieces, and returns how long that took.
+func (w *feedSim) run(t *testing.T, limit time.Duration) time.Duration {
 	t.Helper()
 	for w.now.Sub(testStart) < limit {
 		w.step()
@@ -209,10 +205,10 @@
 
 const feedPieces = 64
 
-func nothing(Member) []int { return nil }
+func holdsNone(Member) []int { return nil }
 
 // everything is all pieces.
-func everything() []int {
+func allPieces() []int {
 	pieces := make([]int, feedPieces)
 	for i := range pieces {
 		pieces[i] = i
--- a/swarm/feedparams.go
+++ b/swarm/feedparams.go
@@ -5,62 +5,63 @@
 	"time"
 )
 
-// FeedParams are the times and bounds of a feed; a zero field takes its default.
+// FeedParams are the settings of a Feed; a zero field takes its default.
 type FeedParams struct {
-	// Greet is how long a box waits to hear what others hold before it draws anything.
-	Greet time.Duration
-	// Patience is how long no piece at all may come before the next rank fetches across sites or draws.
-	Patience time.Duration
-	// HolderPatience is how long a box that was asked may send nothing.
-	HolderPatience time.Duration
-	// Asks is how many pieces are asked for at a time at most; fewer when they take long to come.
-	Asks int
-	// Draws is how many pieces are drawn from the origin at a time.
-	Draws int
-	// DrawEvery is how long the origin's link takes for one piece: pieces are drawn one after the other, over all boxes, so
-	// that the first can be handed on at once.
+	// StartDelay is how long a box waits for its peers' announcements before it downloads anything.
+	StartDelay time.Duration
+	// RankDelay is how long no piece may arrive before the next rank fetches across sites or downloads.
+	RankDelay time.Duration
+	// RequestTimeout is how long a peer with requests may send nothing.
+	RequestTimeout time.Duration
+	// MaxRequests bounds the window of requests in flight.
+	MaxRequests int
+	// MaxDownloads bounds the concurrent downloads from the origin.
+	MaxDownloads int
+	// DrawEvery is the origin link's time for one piece. Over all boxes, pieces are downloaded one after the other, so that
+	// the first can be forwarded at once.
 	DrawEvery time.Duration
 }
 
 // Defaults of FeedParams.
 const (
-	DefaultGreet          = 80 * time.Millisecond
-	DefaultFeedPatience   = 300 * time.Millisecond
-	DefaultHolderPatience = time.Second
-	DefaultFeedDraws      = 2
-	DefaultAsks           = 6
+	DefaultStartDelay         = 80 * time.Millisecond
+	DefaultFeedRankDelay      = 300 * time.Millisecond
+	DefaultFeedRequestTimeout = time.Second
+	DefaultFeedMaxDownloads   = 2
+	DefaultFeedMaxRequests    = 6
 
-	// faultRest is how long a box that did not deliver is not asked.
-	faultRest = time.Second
-	// slowPiece and quickPiece are how long a piece is on its way that takes one from the asks at a time, and that allows one
-	// more: what waits on a narrow link would hold up the requests behind it.
-	slowPiece   = 600 * time.Millisecond
-	quickPiece  = 250 * time.Millisecond
-	firstAsks   = 2
-	shrinkPause = 200 * time.Millisecond
-	// maxStalls bounds by how many times an ask may take longer while nothing comes.
+	// faultPause is how long a peer that did not deliver gets no requests.
+	faultPause = time.Second
+	// A piece slower than highLatency shrinks the window, one faster than lowLatency grows it: pieces queued on a narrow link
+	// would delay the callers' requests behind them.
+	highLatency    = 600 * time.Millisecond
+	lowLatency     = 250 * time.Millisecond
+	initialWindow  = 2
+	shrinkInterval = 200 * time.Millisecond
+	// maxStalls bounds how far consecutive stalls extend the request timeout.
 	maxStalls = 3
-	// lateWeight is one over the weight of the newest piece in how late pieces are usually heard of.
-	lateWeight = 8
-	// firstLate is how late pieces are taken to be heard of as long as none was.
-	firstLate = 300 * time.Millisecond
-	// slowRest is how long a box that took too long is asked only for what no other holds.
-	slowRest = 4 * time.Second
+	// lagSmoothing is the inverse weight of the newest piece in the mean lag.
+	lagSmoothing = 8
+	// initialLag is the mean lag before the first piece.
+	initialLag = 300 * time.Millisecond
+	// slowPause is how long a slow peer is asked only for pieces that no other holds.
+	slowPause = 4 * time.Second
 )
 
 func (p FeedParams) withDefaults() FeedParams {
-	p.Greet = cmp.Or(p.Greet, DefaultGreet)
-	p.Patience = cmp.Or(p.Patience, DefaultFeedPatience)
-	p.HolderPatience = cmp.Or(p.HolderPatience, DefaultHolderPatience)
-	p.Asks = cmp.Or(p.Asks, DefaultAsks)
-	p.Draws = cmp.Or(p.Draws, DefaultFeedDraws)
+	p.StartDelay = cmp.Or(p.StartDelay, DefaultStartDelay)
+	p.RankDelay = cmp.Or(p.RankDelay, DefaultFeedRankDelay)
+	p.RequestTimeout = cmp.Or(p.RequestTimeout, DefaultFeedRequestTimeout)
+	p.MaxRequests = cmp.Or(p.MaxRequests, DefaultFeedMaxRequests)
+	p.MaxDownloads = cmp.Or(p.MaxDownloads, DefaultFeedMaxDownloads)
 	return p
 }
 
-// DrawnAfter returns how long after a version is begun all of so many pieces are drawn; 0 when the origin's rate is not known.
+// DrawnAfter returns the time from the start of a version until all its pieces are downloaded; 0 if the origin's rate is
+// unknown.
 func (p FeedParams) DrawnAfter(pieces int) time.Duration {
 	if p.DrawEvery <= 0 {
 		return 0
 	}
-	return p.withDefaults().Greet + time.Duration(pieces)*p.DrawEvery
+	return p.withDefaults().StartDelay + time.Duration(pieces)*p.DrawEvery
 }
--- a/swarm/feedpeer.go
+++ b/swarm/feedpeer.go
@@ -2,21 +2,20 @@
 
 import "time"
 
-// feedPeer is a linked box.
+// feedPeer is the state of a linked box.
 type feedPeer struct {
 	member Member
 	have   []bool
-	// asked is how many pieces are asked of it, queue how many it said it has to give.
-	asked int
-	queue int
-	// came is when a piece last came from it.
-	came time.Time
-	// rest is until when it is not asked, slow until when only for what no other holds.
-	rest time.Time
-	slow time.Time
+	// inFlight counts this box's requests to the peer, queue is the queue length that the peer announced.
+	inFlight     int
+	queue        int
+	lastReceived time.Time
+	// The peer gets no requests until pausedUntil, and until slowUntil only for pieces that no other holds.
+	pausedUntil time.Time
+	slowUntil   time.Time
 }
 
-// Peer tells that a link to a box is up.
+// Peer records that the link to a box is up.
 func (f *Feed) Peer(member Member) {
 	if f.peers[member.ID] == nil {
 		f.peers[member.ID] = &feedPeer{member: member, have: make([]bool, len(f.have))}
@@ -29,17 +28,17 @@
 	return p != nil && p.have[piece]
 }
 
-// PeerGone tells that the link to a box has ended.
+// PeerGone records that the link to a box has ended.
 func (f *Feed) PeerGone(id string) {
-	for piece, a := range f.asks {
+	for piece, a := range f.requests {
 		if a.peer == id {
-			delete(f.asks, piece)
+			delete(f.requests, piece)
 		}
 	}
 	delete(f.peers, id)
 }
 
-// PeerHas tells which pieces a box holds, all of them when reset, and how many it has to give before the next.
+// PeerHas records pieces that a box holds and its queue length; reset replaces the known set.
 func (f *Feed) PeerHas(id string, reset bool, pieces []uint32, queue int, now time.Time) {
 	p := f.peers[id]
 	if p == nil {
@@ -52,36 +51,36 @@
 	for _, piece := range pieces {
 		if int(piece) < len(p.have) {
 			p.have[piece] = true
-			f.hear(int(piece), now)
+			f.recordSeen(int(piece), now)
 		}
 	}
 }
 
-// holder returns the box to ask for a piece: of those that are quick, of those of the own site, the less loaded of two.
-// Asking the least loaded of all would send every box that heard the same news to the same giver.
-func (f *Feed) holder(piece int, now time.Time) *feedPeer {
+// pickHolder returns the peer to request a piece from: the less loaded of the first two in the cheapest class. Choosing
+// the least loaded of all would send all boxes with the same information to the same peer.
+func (f *Feed) pickHolder(piece int, now time.Time) *feedPeer {
 	var first, second *feedPeer
 	for _, p := range f.peers {
-		if !p.have[piece] || now.Before(p.rest) {
+		if !p.have[piece] || now.Before(p.pausedUntil) {
 			continue
 		}
 		switch {
-		case first == nil || f.before(p, first, piece, now):
+		case first == nil || f.preferred(p, first, piece, now):
 			first, second = p, first
-		case second == nil || f.before(p, second, piece, now):
+		case second == nil || f.preferred(p, second, piece, now):
 			second = p
 		}
 	}
-	if second != nil && f.class(first, now) == f.class(second, now) && second.load() < first.load() {
+	if second != nil && f.costClass(first, now) == f.costClass(second, now) && second.load() < first.load() {
 		return second
 	}
 	return first
 }
 
-// class orders boxes by what asking them costs: slow ones last, then those of other sites.
-func (f *Feed) class(p *feedPeer, now time.Time) int {
+// costClass ranks peers by cost: own site, other sites, then slow peers in the same order.
+func (f *Feed) costClass(p *feedPeer, now time.Time) int {
 	class := 0
-	if now.Before(p.slow) {
+	if now.Before(p.slowUntil) {
 		class += 2
 	}
 	if p.member.Site != f.self.Site {
@@ -90,14 +89,14 @@
 	return class
 }
 
-// before orders boxes by class, and within one in an order that changes with each piece held.
-func (f *Feed) before(a, b *feedPeer, piece int, now time.Time) bool {
-	if classA, classB := f.class(a, now), f.class(b, now); classA != classB {
+// preferred orders peers by class, and within a class in an order that changes with each piece received.
+func (f *Feed) preferred(a, b *feedPeer, piece int, now time.Time) bool {
+	if classA, classB := f.costClass(a, now), f.costClass(b, now); classA != classB {
 		return classA < classB
 	}
 	salt := f.salt + uint64(piece)<<16 + uint64(f.missing)
 	return score(a.member.ID, salt, "") < score(b.member.ID, salt, "")
 }
 
-// load is what a box has to give before a piece that it is asked for now, as far as is known.
-func (p *feedPeer) load() int { return 2*p.asked + p.queue }
+// load estimates the peer's queue from this box's requests and the announced length.
+func (p *feedPeer) load() int { return 2*p.inFlight + p.queue }
--- a/swarm/feedtail_test.go
+++ b/swarm/feedtail_test.go
@@ -8,53 +8,52 @@
 	"time"
 )
 
-// seedsVariable names how many seeds are played instead of usualSeeds.
+// seedsVariable is an environment variable that overrides defaultSeeds.
 const (
 	seedsVariable = "CORALSTAIR_TAIL_SEEDS"
-	usualSeeds    = 25
+	defaultSeeds  = 25
 )
 
-// spare is how long after its whole way over the origin's link a version has had time to be drawn: three drawers fail.
-const spare = 900 * time.Millisecond
+// spareTime is the time to replace three failed downloaders, beyond the version's time on the origin's link.
+const spareTime = 900 * time.Millisecond
 
-// TestFeedIsDrawnWholeBeforeTheOriginGoes proves that drawers that fail do not keep a version from being drawn while the
-// origin's link is free: three of 20 boxes die, freeze for four seconds or spoil what they give, at any moment of the draw, and
-// the origin goes away for good some time after all pieces could have been drawn.
+// TestFeedIsDrawnWholeBeforeTheOriginGoes checks that a version is downloaded completely although three of 20 boxes die, freeze
+// or send corrupt pieces at random times, before the origin becomes unreachable for good.
 func TestFeedIsDrawnWholeBeforeTheOriginGoes(t *testing.T) {
-	seeds := usualSeeds
+	seeds := defaultSeeds
 	if text := os.Getenv(seedsVariable); text != "" {
 		var err error
 		if seeds, err = strconv.Atoi(text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	incomplete, draws := 0, 0
+	incomplete, downloads := 0, 0
 	for seed := range seeds {
-		w := playTail(uint64(seed))
-		draws += w.draws
-		if missing := w.missing(); missing > 0 {
+		w := simulateTail(uint64(seed))
+		downloads += w.downloads
+		if missing := w.lostPieces(); missing > 0 {
 			incomplete++
-			t.Logf("seed %d: %d pieces were never drawn", seed, missing)
+			t.Logf("seed %d: %d pieces were never downloaded", seed, missing)
 		}
 	}
-	t.Logf("%d of %d incomplete, %.2f copies drawn", incomplete, seeds, float64(draws)/float64(seeds*feedPieces))
+	t.Logf("%d of %d incomplete, %.2f copies downloaded", incomplete, seeds, float64(downloads)/float64(seeds*feedPieces))
 	if incomplete > 0 {
 		t.Errorf("%d of %d versions stayed incomplete", incomplete, seeds)
 	}
-	if draws > seeds*feedPieces*3/2 {
-		t.Errorf("%.2f copies drawn a version, want at most 1.5", float64(draws)/float64(seeds*feedPieces))
+	if downloads > seeds*feedPieces*3/2 {
+		t.Errorf("%.2f copies downloaded per version, want at most 1.5", float64(downloads)/float64(seeds*feedPieces))
 	}
 }
 
-// playTail plays a version on 20 boxes of which three fail, until a second after the origin has gone.
-func playTail(seed uint64) *feedWorld {
+// simulateTail simulates a rollout to 20 boxes, three of which fail, until a second after the origin becomes unreachable.
+func simulateTail(seed uint64) *feedSim {
 	r := rand.New(rand.NewPCG(seed, 1))
-	w := newFeedWorld(testMembers(20, 3), feedPieces, nothing)
-	w.gone = testStart.Add(DefaultGreet + feedPieces*drawTime + spare + time.Duration(r.Int64N(int64(time.Second))))
+	w := newFeedSim(testMembers(20, 3), feedPieces, holdsNone)
+	w.originDownAt = testStart.Add(DefaultStartDelay + feedPieces*originTime + spareTime + time.Duration(r.Int64N(int64(time.Second))))
 	failing := r.Perm(20)[:3]
 	for _, i := range failing {
 		id := w.order.members[i].ID
-		at := time.Duration(r.Int64N(int64(feedPieces * drawTime)))
+		at := time.Duration(r.Int64N(int64(feedPieces * originTime)))
 		switch r.IntN(3) {
 		case 0:
 			w.after(at, func() { w.dead[id] = true })
@@ -62,22 +61,22 @@
 			w.after(at, func() { w.dead[id] = true })
 			w.after(at+4*time.Second, func() { w.dead[id] = false })
 		default:
-			w.after(at, func() { w.spoils[id] = true })
+			w.after(at, func() { w.corrupts[id] = true })
 		}
 	}
-	for w.now.Before(w.gone.Add(time.Second)) {
+	for w.now.Before(w.originDownAt.Add(time.Second)) {
 		w.step()
 	}
 	return w
 }
 
-// missing returns how many pieces no box holds that lives and gives whole pieces.
-func (w *feedWorld) missing() int {
+// lostPieces returns how many pieces no healthy box holds.
+func (w *feedSim) lostPieces() int {
 	missing := 0
 	for piece := range feedPieces {
 		held := false
 		for id, f := range w.feeds {
-			held = held || !w.dead[id] && !w.spoils[id] && f.Holds(piece)
+			held = held || !w.dead[id] && !w.corrupts[id] && f.Holds(piece)
 		}
 		if !held {
 			missing++
--- a/swarm/neighbours.go
+++ b/swarm/neighbours.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// MaxNeighbours bounds the boxes of the own site to which a box keeps a link.
+// MaxNeighbours bounds a box's links within its own site.
 const MaxNeighbours = 12
 
-// Neighbours returns the boxes to which self keeps links: up to MaxNeighbours of its own site, in rendezvous order.
+// Neighbours returns up to MaxNeighbours boxes of self's site, in rendezvous order.
 func Neighbours(self Member, members []Member) []Member {
 	var near []Member
 	for _, member := range members {
@@ -25,7 +25,7 @@
 	return near
 }
 
-// pairScore is the same seen from both ends, so that neighbourhood is mostly mutual.
+// pairScore is symmetric, so that most neighbour relations are mutual.
 func pairScore(a, b string) uint64 {
 	return score(min(a, b), 0, max(a, b))
 }
--- a/swarm/node.go
+++ b/swarm/node.go
@@ -6,30 +6,30 @@
 	"github.com/coralstair/coralstair/fleet"
 )
 
-// Node is one box's view of one version on its way: what it has, what others have, what is asked for.
+// Node schedules the transfer of one version of many chunks to one box.
 // It is not safe for concurrent use.
 type Node struct {
-	params  Params
-	order   *Order
-	have    []bool
-	missing int
-	copies  []int
-	near    []int
-	ranks   []int
-	places  []int
-	plan    []int
-	peers   map[string]*peer
-	asked   map[int]ask
-	drawing map[int]bool
-	closed  map[int]time.Time
-	usual   time.Duration
-	news    time.Time
-	began   time.Time
-	salt    uint64
-}
-
-// Action is one thing to do now: ask a box for a chunk or, when Draw is set, draw it from the origin.
-// Rank is this box's place among those that may draw the chunk. Drop says that a chunk asked of a box is no longer wanted.
+	params       Params
+	order        *Order
+	have         []bool
+	missing      int
+	copies       []int
+	siteCopies   []int
+	ranks        []int
+	siteRanks    []int
+	plan         []int
+	peers        map[string]*peer
+	requests     map[int]chunkRequest
+	downloading  map[int]bool
+	blockedUntil map[int]time.Time
+	meanTime     time.Duration
+	lastProgress time.Time
+	started      time.Time
+	salt         uint64
+}
+
+// Action is one thing to do now: request Chunk from Peer or, with Draw, download it from the origin.
+// Rank is this box's rank for the chunk's group. Drop cancels an earlier request for the chunk.
 type Action struct {
 	Chunk int
 	Peer  string
@@ -38,21 +38,20 @@
 	Drop  bool
 }
 
-// Fault says why a chunk did not come.
+// Fault is the reason why a peer did not deliver a chunk.
 type Fault int
 
-// The faults of a giver.
+// The faults of a peer.
 const (
-	// FaultDeclined means that the giver had no time; it is no fault of its.
+	// FaultDeclined means that the peer was busy; it does not count against the peer.
 	FaultDeclined Fault = iota
-	// FaultStalled means that the giver did not answer in time.
+	// FaultStalled means that the peer did not answer in time.
 	FaultStalled
-	// FaultCorrupt means that what came had another digest.
+	// FaultCorrupt means that the chunk's digest did not match.
 	FaultCorrupt
 )
 
-// ask is a chunk asked of a box.
-type ask struct {
+type chunkRequest struct {
 	peer  string
 	since time.Time
 }
@@ -60,78 +59,78 @@
 // NewNode returns a node that already holds the chunks in have.
 func NewNode(params Params, order *Order, have []int, now time.Time) *Node {
 	n := &Node{
-		params:  params.withDefaults(),
-		have:    make([]bool, order.chunks),
-		copies:  make([]int, order.chunks),
-		near:    make([]int, order.chunks),
-		missing: order.chunks,
-		peers:   make(map[string]*peer),
-		asked:   make(map[int]ask),
-		drawing: make(map[int]bool),
-		closed:  make(map[int]time.Time),
-		news:    now,
-		began:   now,
-		salt:    score(params.Self.ID, 0, params.Self.Site),
+		params:       params.withDefaults(),
+		have:         make([]bool, order.chunks),
+		copies:       make([]int, order.chunks),
+		siteCopies:   make([]int, order.chunks),
+		missing:      order.chunks,
+		peers:        make(map[string]*peer),
+		requests:     make(map[int]chunkRequest),
+		downloading:  make(map[int]bool),
+		blockedUntil: make(map[int]time.Time),
+		lastProgress: now,
+		started:      now,
+		salt:         score(params.Self.ID, 0, params.Self.Site),
 	}
 	for _, chunk := range have {
-		n.hold(chunk)
+		n.markHeld(chunk)
 	}
 	n.Reorder(order)
 	return n
 }
 
-// CloseGroup keeps a group from being drawn from the origin until a time: its permit was not to be had.
-func (n *Node) CloseGroup(group int, until time.Time) {
-	n.closed[group] = until
+// BlockGroup prevents downloads of a group from the origin until a time, after its permit was unavailable.
+func (n *Node) BlockGroup(group int, until time.Time) {
+	n.blockedUntil[group] = until
 }
 
 // Complete reports whether all chunks are held.
 func (n *Node) Complete() bool { return n.missing == 0 }
 
-// DrawFailed says that the origin did not give a chunk.
+// DrawFailed records that a chunk's download from the origin failed.
 func (n *Node) DrawFailed(chunk int, now time.Time) {
-	delete(n.drawing, chunk)
-	n.CloseGroup(n.order.Group(chunk), now.Add(n.params.RankWait))
+	delete(n.downloading, chunk)
+	n.BlockGroup(n.order.Group(chunk), now.Add(n.params.RankWait))
 }
 
-// minPause is the least time for which a box that did not give a chunk is left alone.
-const minPause = 20 * time.Millisecond
+// minRetryDelay is the shortest time without requests to a peer that did not deliver a chunk.
+const minRetryDelay = 20 * time.Millisecond
 
-// Failed says that an asked chunk did not come from a box, and why.
+// Failed records that a peer did not deliver a requested chunk, and why.
 func (n *Node) Failed(chunk int, from string, fault Fault, now time.Time) {
 	n.release(chunk, from)
 	p := n.peers[from]
 	if p == nil {
 		return
 	}
-	p.retry = now.Add(max(n.usual, minPause))
+	p.retryAt = now.Add(max(n.meanTime, minRetryDelay))
 	switch fault {
 	case FaultDeclined:
-		p.pause = p.retry
+		p.pausedUntil = p.retryAt
 	case FaultStalled:
-		p.pause = now.Add(n.params.Patience)
+		p.pausedUntil = now.Add(n.params.Patience)
 		p.faults++
 	case FaultCorrupt:
 		p.faults++
 	}
 	if p.faults >= faultsBeforePause {
 		p.faults = 0
-		p.pause = now.Add(n.params.FaultPause)
+		p.pausedUntil = now.Add(n.params.FaultPause)
 	}
 }
 
-// Got says that a chunk came and was verified; from is empty when it was drawn. It reports whether the chunk was new.
+// Got records that a chunk arrived and was verified; from is empty for the origin. It reports whether the chunk was new.
 func (n *Node) Got(chunk int, from string, now time.Time) bool {
-	if a, ok := n.asked[chunk]; ok && a.peer == from {
+	if a, ok := n.requests[chunk]; ok && a.peer == from {
 		n.observe(now.Sub(a.since))
 		n.peers[from].faults = 0
 	}
-	if a, ok := n.asked[chunk]; ok {
+	if a, ok := n.requests[chunk]; ok {
 		n.release(chunk, a.peer)
 	}
-	delete(n.drawing, chunk)
-	n.news = now
-	return n.hold(chunk)
+	delete(n.downloading, chunk)
+	n.lastProgress = now
+	return n.markHeld(chunk)
 }
 
 // Have returns the number of chunks held.
@@ -151,28 +150,28 @@
 	return missing
 }
 
-// Next returns what to do now and marks it as being done.
+// Next returns the actions to start now and records them as in progress.
 func (n *Node) Next(now time.Time) []Action {
 	if n.Complete() {
 		return nil
 	}
 	n.expire(now)
-	actions := n.nextDraws(now)
-	return append(actions, n.nextAsks(now)...)
+	actions := n.nextDownloads(now)
+	return append(actions, n.nextRequests(now)...)
 }
 
-// Reorder takes a new order after boxes came or went.
+// Reorder replaces the order after a change of the fleet's members.
 func (n *Node) Reorder(order *Order) {
 	n.order = order
 	n.ranks = make([]int, order.Groups())
-	n.places = make([]int, order.Groups())
+	n.siteRanks = make([]int, order.Groups())
 	for group := range n.ranks {
-		n.ranks[group], n.places[group] = order.Places(group, n.params.Self)
+		n.ranks[group], n.siteRanks[group] = order.Ranks(group, n.params.Self)
 	}
 	n.makePlan()
 }
 
-// SetPrefer takes another preference of the fleet.
+// SetPrefer sets the fleet's preference.
 func (n *Node) SetPrefer(prefer fleet.Preference) {
 	if n.params.Prefer != prefer {
 		n.params.Prefer = prefer
@@ -180,18 +179,18 @@
 	}
 }
 
-// expire gives up asks that have taken much longer than usual, so that the chunk is asked for elsewhere.
+// expire fails requests that exceed the timeout, so that the chunk is requested elsewhere.
 func (n *Node) expire(now time.Time) {
-	patience := max(n.params.Patience, patienceFactor*n.usual)
-	for chunk, a := range n.asked {
-		if now.Sub(a.since) > patience {
+	timeout := max(n.params.Patience, timeoutFactor*n.meanTime)
+	for chunk, a := range n.requests {
+		if now.Sub(a.since) > timeout {
 			n.Failed(chunk, a.peer, FaultStalled, now)
 		}
 	}
 }
 
-// hold notes that a chunk is held; false when it was before.
-func (n *Node) hold(chunk int) bool {
+// markHeld reports whether the chunk was missing before.
+func (n *Node) markHeld(chunk int) bool {
 	if n.have[chunk] {
 		return false
 	}
@@ -200,29 +199,28 @@
 	return true
 }
 
-// observe takes how long a chunk took into the usual time.
+// observe updates the mean time of a chunk.
 func (n *Node) observe(took time.Duration) {
-	if n.usual == 0 {
-		n.usual = took
+	if n.meanTime == 0 {
+		n.meanTime = took
 		return
 	}
-	n.usual += time.Duration(smoothing * float64(took-n.usual))
+	n.meanTime += time.Duration(ewmaWeight * float64(took-n.meanTime))
 }
 
-// release ends an ask of a box.
 func (n *Node) release(chunk int, from string) {
-	a, ok := n.asked[chunk]
+	a, ok := n.requests[chunk]
 	if !ok || a.peer != from {
 		return
 	}
-	delete(n.asked, chunk)
+	delete(n.requests, chunk)
 	if p := n.peers[from]; p != nil {
-		p.asked--
+		p.inFlight--
 	}
 }
 
-// wanted reports whether a chunk is neither held nor on its way.
+// wanted reports whether a chunk is neither held nor in flight.
 func (n *Node) wanted(chunk int) bool {
-	_, asked := n.asked[chunk]
-	return !n.have[chunk] && !asked && !n.drawing[chunk]
+	_, requested := n.requests[chunk]
+	return !n.have[chunk] && !requested && !n.downloading[chunk]
 }
--- a/swarm/order.go
+++ b/swarm/order.go
@@ -8,34 +8,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MaxGroups bounds the chunk groups of a version, and with them the permits written to the table.
+// MaxGroups bounds the chunk groups of a version, and so the permits written to the table.
 const MaxGroups = 128
 
-// MaxPermits is the number of draws from the origin that a chunk group allows.
+// MaxPermits is the number of downloads from the origin allowed per chunk group.
 const MaxPermits = 4
 
-// Member is a box that takes part in a rollout.
+// Member is a box in a rollout.
 type Member struct {
 	ID   string
 	Site string
 }
 
-// Order is the rendezvous order of the boxes for each chunk group: the first draws the
-// group from the origin, the first of each site is that site's home for it.
+// Order ranks the boxes for each chunk group by rendezvous hashing. The first box downloads the group from the origin;
+// the first of each site is the site's gateway, which fetches the group from another site.
 type Order struct {
 	chunks  int
 	members []Member
 	ranked  [][]int
 }
 
-// NewOrder computes the order for a version with that many chunks and that salt.
+// NewOrder computes the order for a version; boxes with the same arguments get the same order.
 func NewOrder(salt string, chunks int, members []Member) *Order {
 	o := &Order{chunks: chunks, members: slices.Clone(members)}
 	slices.SortFunc(o.members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	o.ranked = make([][]int, o.Groups())
-	shares := newShares(o.members, o.Groups())
+	balancer := newRankBalancer(o.members, o.Groups())
 	for group := range o.ranked {
-		o.ranked[group] = shares.front(rank(salt, group, o.members))
+		o.ranked[group] = balancer.promote(rankMembers(salt, group, o.members))
 	}
 	return o
 }
@@ -50,25 +50,25 @@
 	return min(o.chunks, MaxGroups)
 }
 
-// Homes returns the first box of each site for a group, the site of the drawer first.
+// Homes returns the gateway of each site for a group, the downloader's site first.
 func (o *Order) Homes(group int) []Member {
-	var homes []Member
+	var gateways []Member
 	seen := make(map[string]bool)
 	for _, i := range o.ranked[group] {
 		member := o.members[i]
 		if !seen[member.Site] {
 			seen[member.Site] = true
-			homes = append(homes, member)
+			gateways = append(gateways, member)
 		}
 	}
-	return homes
+	return gateways
 }
 
-// Places returns a box's place, from 0, among all boxes and among those of its site; -1 for a box that takes no part.
-func (o *Order) Places(group int, self Member) (all, site int) {
-	for place, i := range o.ranked[group] {
+// Ranks returns a box's rank, from 0, among all boxes and within its site; -1 for a box that is not a member.
+func (o *Order) Ranks(group int, self Member) (all, site int) {
+	for rank, i := range o.ranked[group] {
 		if o.members[i].ID == self.ID {
-			return place, site
+			return rank, site
 		}
 		if o.members[i].Site == self.Site {
 			site++
@@ -77,27 +77,27 @@
 	return -1, -1
 }
 
-// Sources returns the boxes in other sites from which the home of a site takes a group:
-// the home of its parent site in a binary tree over the sites, then the drawer. The drawer's own site has the next
-// home as its source, for the case that the drawer was replaced and others hold what it once drew.
+// Sources returns the boxes in other sites from which a site's gateway fetches a group: the gateway of the parent in a binary
+// tree of sites, then the downloader. The downloader's site uses the next gateway, since a replaced downloader may lack
+// chunks that others hold.
 func (o *Order) Sources(group int, site string) []Member {
-	homes := o.Homes(group)
-	place := slices.IndexFunc(homes, func(m Member) bool { return m.Site == site })
-	if place < 0 || len(homes) < 2 {
+	gateways := o.Homes(group)
+	index := slices.IndexFunc(gateways, func(m Member) bool { return m.Site == site })
+	if index < 0 || len(gateways) < 2 {
 		return nil
 	}
-	if place == 0 {
-		return homes[1:2]
+	if index == 0 {
+		return gateways[1:2]
 	}
-	parent := (place - 1) / 2
+	parent := (index - 1) / 2
 	if parent == 0 {
-		return homes[:1]
+		return gateways[:1]
 	}
-	return []Member{homes[parent], homes[0]}
+	return []Member{gateways[parent], gateways[0]}
 }
 
-// rank returns the indexes of the members in the rendezvous order of a group.
-func rank(salt string, group int, members []Member) []int {
+// rankMembers returns the indexes of the members in the rendezvous order of a group.
+func rankMembers(salt string, group int, members []Member) []int {
 	scores := make([]uint64, len(members))
 	order := make([]int, len(members))
 	for i, member := range members {
@@ -108,7 +108,7 @@
 	return order
 }
 
-// score is the same at every box.
+// score is a hash that is the same on every box.
 func score(salt string, n uint64, id string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/swarm/params.go
+++ b/swarm/params.go
@@ -12,44 +12,44 @@
 	Self   Member
 	Prefer fleet.Preference
 
-	// Pulls is how many chunks may be asked for at a time in all.
-	Pulls int
-	// PullsPerPeer is how many chunks may be asked of one box at a time.
-	PullsPerPeer int
-	// Draws is how many chunks may be drawn from the origin at a time.
-	Draws int
-	// Patience is the least time after which an unanswered ask counts as stalled.
+	// MaxRequests bounds the chunk requests in flight to all peers.
+	MaxRequests int
+	// MaxRequestsPerPeer bounds the chunk requests in flight to one peer.
+	MaxRequestsPerPeer int
+	// MaxDownloads bounds the concurrent downloads from the origin.
+	MaxDownloads int
+	// Patience is the shortest time after which an unanswered request counts as stalled.
 	Patience time.Duration
-	// RankWait is how much longer each later rank waits before it draws or fetches across sites.
+	// RankWait is the extra delay of each rank before it downloads from the origin or fetches across sites.
 	RankWait time.Duration
-	// FaultPause is how long a box at fault twice is left alone.
+	// FaultPause is how long a peer gets no requests after repeated faults.
 	FaultPause time.Duration
 }
 
 // Defaults of Params.
 const (
-	DefaultPulls        = 4
-	DefaultPullsPerPeer = 2
-	DefaultDraws        = 1
-	DefaultPatience     = 2 * time.Second
-	DefaultRankWait     = 3 * time.Second
-	DefaultFaultPause   = 30 * time.Second
+	DefaultMaxRequests        = 4
+	DefaultMaxRequestsPerPeer = 2
+	DefaultMaxDownloads       = 1
+	DefaultRequestTimeout     = 2 * time.Second
+	DefaultRankWait           = 3 * time.Second
+	DefaultFaultPause         = 30 * time.Second
 
-	// patienceFactor times the usual time of a chunk is how long an ask may take.
-	patienceFactor = 6
-	// smoothing is the weight of the newest chunk in the usual time.
-	smoothing = 0.2
-	// faultsBeforePause is the number of faults after which a box is left alone.
+	// timeoutFactor times the mean time of a chunk is the request timeout.
+	timeoutFactor = 6
+	// ewmaWeight is the weight of the newest sample in moving averages.
+	ewmaWeight = 0.2
+	// faultsBeforePause is the number of faults after which a peer is paused.
 	faultsBeforePause = 2
-	// timeRanks is how many boxes draw each group without waiting when time weighs more.
-	timeRanks = MaxPermits
+	// immediateRanks is how many ranks download each group without delay in a fleet that prefers time.
+	immediateRanks = MaxPermits
 )
 
 func (p Params) withDefaults() Params {
-	p.Pulls = cmp.Or(p.Pulls, DefaultPulls)
-	p.PullsPerPeer = cmp.Or(p.PullsPerPeer, DefaultPullsPerPeer)
-	p.Draws = cmp.Or(p.Draws, DefaultDraws)
-	p.Patience = cmp.Or(p.Patience, DefaultPatience)
+	p.MaxRequests = cmp.Or(p.MaxRequests, DefaultMaxRequests)
+	p.MaxRequestsPerPeer = cmp.Or(p.MaxRequestsPerPeer, DefaultMaxRequestsPerPeer)
+	p.MaxDownloads = cmp.Or(p.MaxDownloads, DefaultMaxDownloads)
+	p.Patience = cmp.Or(p.Patience, DefaultRequestTimeout)
 	p.RankWait = cmp.Or(p.RankWait, DefaultRankWait)
 	p.FaultPause = cmp.Or(p.FaultPause, DefaultFaultPause)
 	return p
--- a/swarm/partners_test.go
+++ b/swarm/partners_test.go
@@ -15,12 +15,12 @@
 			known[partner.ID] = true
 		}
 		for group := range order.Groups() {
-			if _, site := order.Places(group, self); site != 0 {
+			if _, site := order.Ranks(group, self); site != 0 {
 				continue
 			}
 			for _, source := range order.Sources(group, self.Site) {
 				if !known[source.ID] {
-					t.Errorf("%s takes group %d across and has no link to its source %s", self.ID, group, source.ID)
+					t.Errorf("%s fetches group %d across sites and has no link to its source %s", self.ID, group, source.ID)
 				}
 			}
 		}
--- a/swarm/peer.go
+++ b/swarm/peer.go
@@ -6,66 +6,66 @@
 	"time"
 )
 
-// peer is what a node knows of a box to which a link is up.
+// peer is the state of a linked box.
 type peer struct {
-	member Member
-	have   []bool
-	queue  int
-	given  int
-	asked  int
-	faults int
-	// told says that the box has told what it holds.
-	told bool
-	// pause is until when the box is left alone, retry until when even for chunks that no other box holds.
-	pause time.Time
-	retry time.Time
+	member   Member
+	have     []bool
+	queue    int
+	sent     int
+	inFlight int
+	faults   int
+	// announced is set once the peer has announced its chunks.
+	announced bool
+	// Until pausedUntil the peer gets requests only for chunks that no other peer holds, before retryAt none.
+	pausedUntil time.Time
+	retryAt     time.Time
 }
 
-// Peer tells of a box to which a link is up.
+// Peer records that the link to a box is up.
 func (n *Node) Peer(member Member) {
 	if n.peers[member.ID] == nil {
 		n.peers[member.ID] = &peer{member: member, have: make([]bool, len(n.have))}
 	}
 }
 
-// PeerGone tells that the link to a box has ended.
+// PeerGone records that the link to a box has ended.
 func (n *Node) PeerGone(id string) {
-	for chunk, a := range n.asked {
+	for chunk, a := range n.requests {
 		if a.peer == id {
-			delete(n.asked, chunk)
+			delete(n.requests, chunk)
 		}
 	}
 	if p := n.peers[id]; p != nil {
-		n.forget(p)
+		n.clearHoldings(p)
 	}
 	delete(n.peers, id)
 }
 
-// PeerLoad tells how many asks a box has waiting and how many chunks it has given so far.
-func (n *Node) PeerLoad(id string, queue, given int) {
+// PeerLoad records how many requests a box has queued and how many chunks it has sent.
+func (n *Node) PeerLoad(id string, queue, sent int) {
 	if p := n.peers[id]; p != nil {
-		p.queue, p.given = queue, given
+		p.queue, p.sent = queue, sent
 	}
 }
 
-// PeerHas tells which chunks a box holds, all of them when reset.
+// PeerHas records chunks that a box holds; reset replaces the known set.
 func (n *Node) PeerHas(id string, reset bool, chunks []uint32, now time.Time) {
 	p := n.peers[id]
 	if p == nil {
 		return
 	}
-	p.told = true
+	p.announced = true
 	if reset {
-		n.forget(p)
+		n.clearHoldings(p)
 	}
 	for _, chunk := range chunks {
 		if int(chunk) < len(p.have) && !p.have[chunk] {
 			p.have[chunk] = true
-			n.count(p, int(chunk), 1)
+			n.addCopies(p, int(chunk), 1)
 		}
 	}
 	if len(chunks) > 0 {
-		n.news = now
+		n.lastProgress = now
 	}
 }
 
@@ -75,51 +75,50 @@
 	return p != nil && p.have[chunk]
 }
 
-// count adds to the number of linked boxes that hold a chunk.
-func (n *Node) count(p *peer, chunk, by int) {
+// addCopies adjusts the number of linked boxes that hold a chunk.
+func (n *Node) addCopies(p *peer, chunk, by int) {
 	n.copies[chunk] += by
 	if p.member.Site == n.params.Self.Site {
-		n.near[chunk] += by
+		n.siteCopies[chunk] += by
 	}
 }
 
-// forget takes back what a box was known to hold.
-func (n *Node) forget(p *peer) {
+func (n *Node) clearHoldings(p *peer) {
 	for chunk, held := range p.have {
 		if held {
 			p.have[chunk] = false
-			n.count(p, chunk, -1)
+			n.addCopies(p, chunk, -1)
 		}
 	}
 }
 
-// holders returns the boxes that can be asked for a chunk now, in an order of this box's own. Boxes left alone come
-// in only, one ask at a time, when no other holds the chunk: it may be theirs alone.
+// holders returns the peers that may be asked for a chunk now, in an order private to this box. Paused peers are used
+// only if no other peer holds the chunk, one request at a time.
 func (n *Node) holders(chunk int, now time.Time) []*peer {
 	var holders, paused []*peer
 	others := false
 	for _, p := range n.peers {
 		switch {
 		case !p.have[chunk]:
-		case now.Before(p.pause):
+		case now.Before(p.pausedUntil):
 			paused = append(paused, p)
 		default:
 			others = true
-			if p.asked < n.params.PullsPerPeer {
+			if p.inFlight < n.params.MaxRequestsPerPeer {
 				holders = append(holders, p)
 			}
 		}
 	}
 	if !others {
-		holders = slices.DeleteFunc(paused, func(p *peer) bool { return p.asked > 0 || now.Before(p.retry) })
+		holders = slices.DeleteFunc(paused, func(p *peer) bool { return p.inFlight > 0 || now.Before(p.retryAt) })
 	}
-	slices.SortFunc(holders, func(a, b *peer) int { return cmp.Compare(n.tie(a.member.ID), n.tie(b.member.ID)) })
+	slices.SortFunc(holders, func(a, b *peer) int { return cmp.Compare(n.tiebreak(a.member.ID), n.tiebreak(b.member.ID)) })
 	return holders
 }
 
-// lighter returns the less loaded of the first two holders. Asking the least loaded of all would send every box that
-// heard the same news to the same giver at once.
-func lighter(holders []*peer) *peer {
+// lessLoaded returns the less loaded of the first two holders. Choosing the least loaded of all would send all boxes with
+// the same information to the same peer.
+func lessLoaded(holders []*peer) *peer {
 	switch {
 	case len(holders) == 0:
 		return nil
@@ -130,15 +129,15 @@
 	}
 }
 
-// load is the chunks that a box has given and those it has been asked for.
+// load weighs the chunks that a peer has sent and its queued requests.
 func (p *peer) load() int {
-	return p.given + queueWeight*(p.queue+p.asked)
+	return p.sent + queueWeight*(p.queue+p.inFlight)
 }
 
-// queueWeight is how many chunks given count as much as one that waits.
+// queueWeight is how many sent chunks count as much as one queued request.
 const queueWeight = 2
 
-// tie is a box's place in an order of this box's own, which changes with each chunk.
-func (n *Node) tie(id string) uint64 {
+// tiebreak orders peers pseudorandomly per box; the order changes with each chunk received.
+func (n *Node) tiebreak(id string) uint64 {
 	return score(id, n.salt+uint64(n.missing), "")
 }
--- a/swarm/replaced_test.go
+++ b/swarm/replaced_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestReplacedBoxDrawsNothing: a box that comes back empty draws nothing from the origin as long as none of the boxes to which
-// it has links now has told what it holds.
-func TestReplacedBoxDrawsNothing(t *testing.T) {
+// TestReplacedBoxDownloadsNothing checks that a box that returns empty downloads nothing from the origin before a linked peer
+// has announced its chunks.
+func TestReplacedBoxDownloadsNothing(t *testing.T) {
 	const chunks = 16
 	all := make([]uint32, chunks)
 	for i := range all {
@@ -19,14 +19,14 @@
 		members []Member
 		happens func(n *Node)
 	}{
-		"the link on which it was told is replaced by another": {members, func(n *Node) {
+		"the link of the announcement is replaced by another": {members, func(n *Node) {
 			n.Peer(other)
 			n.PeerHas(other.ID, true, all, testStart)
 			n.PeerGone(other.ID)
 			n.Peer(other)
 		}},
-		"the link on which it was told has ended":  {members, func(n *Node) { n.Peer(other); n.PeerHas(other.ID, true, all, testStart); n.PeerGone(other.ID) }},
-		"a link is up and nothing has been told":   {members, func(n *Node) { n.Peer(other) }},
+		"the link of the announcement has ended":   {members, func(n *Node) { n.Peer(other); n.PeerHas(other.ID, true, all, testStart); n.PeerGone(other.ID) }},
+		"a link is up without an announcement":     {members, func(n *Node) { n.Peer(other) }},
 		"the list of boxes has not been read yet":  {nil, func(*Node) {}},
 		"the list names others, and no link is up": {members, func(*Node) {}},
 	}
@@ -36,7 +36,7 @@
 			test.happens(n)
 			for _, action := range n.Next(testStart.Add(100 * time.Millisecond)) {
 				if action.Draw {
-					t.Errorf("chunk %d is drawn", action.Chunk)
+					t.Errorf("chunk %d is downloaded", action.Chunk)
 				}
 			}
 		})
--- a/swarm/shares.go
+++ b/swarm/shares.go
@@ -2,70 +2,70 @@
 
 import "slices"
 
-// shares keeps the first places even: rendezvous hashing alone would make some boxes home, or drawer, of several
-// times as many groups as others, and the slowest box decides when a rollout is done.
-type shares struct {
-	members  []Member
-	homeCap  map[string]int
-	drawCap  int
-	homes    []int
-	drawings []int
+// rankBalancer evens out the first ranks: with rendezvous hashing alone some boxes would be gateway or downloader of several
+// times as many groups as others, and the slowest box bounds the rollout.
+type rankBalancer struct {
+	members     []Member
+	gatewayCap  map[string]int
+	downloadCap int
+	gateways    []int
+	downloads   []int
 }
 
-func newShares(members []Member, groups int) *shares {
-	s := &shares{
-		members: members, homeCap: make(map[string]int),
-		homes: make([]int, len(members)), drawings: make([]int, len(members)),
+func newRankBalancer(members []Member, groups int) *rankBalancer {
+	s := &rankBalancer{
+		members: members, gatewayCap: make(map[string]int),
+		gateways: make([]int, len(members)), downloads: make([]int, len(members)),
 	}
 	boxes := make(map[string]int)
 	for _, member := range members {
 		boxes[member.Site]++
 	}
 	for site, n := range boxes {
-		s.homeCap[site] = (groups + n - 1) / n
+		s.gatewayCap[site] = (groups + n - 1) / n
 	}
 	if len(members) > 0 {
-		s.drawCap = (groups + len(members) - 1) / len(members)
+		s.downloadCap = (groups + len(members) - 1) / len(members)
 	}
 	return s
 }
 
-// front moves the first box of each site that has not yet its share of homes to the front, and of these the first
-// that has not yet its share of draws to the very front.
-func (s *shares) front(order []int) []int {
-	var homes []int
-	home := make(map[string]bool)
+// promote moves to the front the first box of each site that is below its gateway cap, and of these the first that is below
+// the download cap to the first rank.
+func (s *rankBalancer) promote(order []int) []int {
+	var gateways []int
+	chosen := make(map[string]bool)
 	for _, i := range order {
 		site := s.members[i].Site
-		if !home[site] && s.homes[i] < s.homeCap[site] {
-			home[site] = true
-			s.homes[i]++
-			homes = append(homes, i)
+		if !chosen[site] && s.gateways[i] < s.gatewayCap[site] {
+			chosen[site] = true
+			s.gateways[i]++
+			gateways = append(gateways, i)
 		}
 	}
-	if len(homes) == 0 {
+	if len(gateways) == 0 {
 		return order
 	}
-	drawer := s.drawer(homes)
-	s.drawings[homes[drawer]]++
-	front := append([]int{homes[drawer]}, slices.Delete(slices.Clone(homes), drawer, drawer+1)...)
+	first := s.pickDownloader(gateways)
+	s.downloads[gateways[first]]++
+	front := append([]int{gateways[first]}, slices.Delete(slices.Clone(gateways), first, first+1)...)
 	for _, i := range order {
-		if !slices.Contains(homes, i) {
+		if !slices.Contains(gateways, i) {
 			front = append(front, i)
 		}
 	}
 	return front
 }
 
-// drawer returns the place of the first home that has not yet its share of draws, or has the fewest.
-func (s *shares) drawer(homes []int) int {
+// pickDownloader returns the index of the first gateway below the download cap, or of the one with the fewest downloads.
+func (s *rankBalancer) pickDownloader(gateways []int) int {
 	fewest := 0
-	for place, i := range homes {
-		if s.drawings[i] < s.drawCap {
-			return place
+	for index, i := range gateways {
+		if s.downloads[i] < s.downloadCap {
+			return index
 		}
-		if s.drawings[i] < s.drawings[homes[fewest]] {
-			fewest = place
+		if s.downloads[i] < s.downloads[gateways[fewest]] {
+			fewest = index
 		}
 	}
 	return fewest
--- a/swarm/swarm_test.go
+++ b/swarm/swarm_test.go
@@ -20,18 +20,18 @@
 	return members
 }
 
-// world drives nodes in virtual time: what a node asks for arrives after a delay, or fails.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	order   *Order
-	nodes   map[string]*Node
-	dead    map[string]bool
-	events  []event
-	draws   map[int]int
-	crossed map[string]int
-	permits map[int]int
-	fault   func() Fault
+// nodeSim simulates nodes in virtual time: requested chunks arrive after a delay, or fail.
+type nodeSim struct {
+	t         *rapid.T
+	now       time.Time
+	order     *Order
+	nodes     map[string]*Node
+	dead      map[string]bool
+	events    []event
+	downloads map[int]int
+	crossings map[string]int
+	permits   map[int]int
+	fault     func() Fault
 }
 
 type event struct {
@@ -40,10 +40,10 @@
 	action Action
 }
 
-func newWorld(t *rapid.T, members []Member, chunks int, prefer fleet.Preference) *world {
-	w := &world{
+func newNodeSim(t *rapid.T, members []Member, chunks int, prefer fleet.Preference) *nodeSim {
+	w := &nodeSim{
 		t: t, now: testStart, order: NewOrder("salt", chunks, members), nodes: make(map[string]*Node),
-		dead: make(map[string]bool), draws: make(map[int]int), crossed: make(map[string]int),
+		dead: make(map[string]bool), downloads: make(map[int]int), crossings: make(map[string]int),
 		permits: make(map[int]int), fault: func() Fault { return noFault },
 	}
 	for _, member := range members {
@@ -55,20 +55,20 @@
 
 const noFault Fault = -1
 
-// link connects a node with those it wants links to.
-func (w *world) link(id string) {
+// link connects a node with its neighbours and cross-site sources.
+func (w *nodeSim) link(id string) {
 	n := w.nodes[id]
 	wanted := append(Neighbours(n.params.Self, w.order.members), n.CrossLinks(w.now)...)
 	for _, member := range wanted {
 		if w.dead[member.ID] || n.peers[member.ID] != nil {
 			continue
 		}
-		w.join(n, w.nodes[member.ID])
-		w.join(w.nodes[member.ID], n)
+		w.connect(n, w.nodes[member.ID])
+		w.connect(w.nodes[member.ID], n)
 	}
 }
 
-func (w *world) join(n, other *Node) {
+func (w *nodeSim) connect(n, other *Node) {
 	n.Peer(other.params.Self)
 	var held []uint32
 	for chunk, have := range other.have {
@@ -79,8 +79,8 @@
 	n.PeerHas(other.params.Self.ID, true, held, w.now)
 }
 
-// step lets time pass, delivers what is due and lets each node decide.
-func (w *world) step() {
+// step advances the time, delivers due events and starts each node's next actions.
+func (w *nodeSim) step() {
 	w.now = w.now.Add(20 * time.Millisecond)
 	var later []event
 	for _, e := range w.events {
@@ -102,22 +102,22 @@
 	}
 }
 
-func (w *world) start(id string, action Action) {
+func (w *nodeSim) start(id string, action Action) {
 	if action.Draw {
 		group := w.order.Group(action.Chunk)
-		if n := w.nodes[id]; w.permits[group] >= MaxPermits && !n.Holds(action.Chunk) && w.draws[action.Chunk] >= MaxPermits {
+		if n := w.nodes[id]; w.permits[group] >= MaxPermits && !n.Holds(action.Chunk) && w.downloads[action.Chunk] >= MaxPermits {
 			n.DrawFailed(action.Chunk, w.now)
 			return
 		}
-		w.draws[action.Chunk]++
+		w.downloads[action.Chunk]++
 	} else if !w.nodes[id].PeerHolds(action.Peer, action.Chunk) {
-		w.t.Fatalf("%s asks %s for chunk %d, which it is not known to hold", id, action.Peer, action.Chunk)
+		w.t.Fatalf("%s requests from %s chunk %d, which it is not known to hold", id, action.Peer, action.Chunk)
 	}
 	delay := time.Duration(rapid.IntRange(5, 60).Draw(w.t, "delay")) * time.Millisecond
 	w.events = append(w.events, event{at: w.now.Add(delay), to: id, action: action})
 }
 
-func (w *world) deliver(e event) {
+func (w *nodeSim) deliver(e event) {
 	n := w.nodes[e.to]
 	if w.dead[e.to] {
 		return
@@ -131,7 +131,7 @@
 			return
 		}
 		if from := w.nodes[e.action.Peer].params.Self.Site; from != n.params.Self.Site {
-			w.crossed[fmt.Sprint(n.params.Self.Site, "/", e.action.Chunk)]++
+			w.crossings[fmt.Sprint(n.params.Self.Site, "/", e.action.Chunk)]++
 		}
 	}
 	if !n.Got(e.action.Chunk, e.action.Peer, w.now) {
@@ -142,7 +142,7 @@
 	}
 }
 
-func (w *world) kill(id string) {
+func (w *nodeSim) kill(id string) {
 	w.dead[id] = true
 	var alive []Member
 	for _, member := range w.order.members {
@@ -157,7 +157,7 @@
 	}
 }
 
-func (w *world) complete() bool {
+func (w *nodeSim) complete() bool {
 	for id, n := range w.nodes {
 		if !w.dead[id] && !n.Complete() {
 			return false
@@ -166,13 +166,13 @@
 	return true
 }
 
-// run steps until all nodes are complete and reports the virtual time that took.
-func (w *world) run(limit time.Duration) time.Duration {
+// run steps until all live nodes are complete, and returns the virtual time that took.
+func (w *nodeSim) run(limit time.Duration) time.Duration {
 	for !w.complete() {
 		if w.now.Sub(testStart) > limit {
 			for id, n := range w.nodes {
 				if !n.Complete() {
-					w.t.Logf("%s lacks %v, asked %v, drawing %v", id, n.Missing(), n.asked, n.drawing)
+					w.t.Logf("%s lacks %v, requested %v, downloading %v", id, n.Missing(), n.requests, n.downloading)
 				}
 			}
 			w.t.Fatalf("not complete after %s of virtual time", limit)
@@ -182,25 +182,25 @@
 	return w.now.Sub(testStart)
 }
 
-// TestSpread runs rollouts without faults: all complete, the origin gives each chunk once (or as often as the
-// preference allows), and each chunk crosses into a site at most once.
+// TestSpread checks rollouts without faults: all nodes complete, each chunk is downloaded at most as often as the preference
+// allows and crosses into a site at most once.
 func TestSpread(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sites := rapid.IntRange(1, 4).Draw(rt, "sites")
 		boxes := rapid.IntRange(sites, 24).Draw(rt, "boxes")
 		prefer := rapid.SampledFrom([]fleet.Preference{fleet.PreferOriginBytes, fleet.PreferTime}).Draw(rt, "prefer")
-		w := newWorld(rt, testMembers(boxes, sites), rapid.IntRange(1, 60).Draw(rt, "chunks"), prefer)
+		w := newNodeSim(rt, testMembers(boxes, sites), rapid.IntRange(1, 60).Draw(rt, "chunks"), prefer)
 		w.run(5 * time.Minute)
 		most := 1
 		if prefer == fleet.PreferTime {
 			most = MaxPermits
 		}
-		for chunk, n := range w.draws {
+		for chunk, n := range w.downloads {
 			if n > most {
-				rt.Errorf("chunk %d drawn %d times, want %d at most", chunk, n, most)
+				rt.Errorf("chunk %d downloaded %d times, want at most %d", chunk, n, most)
 			}
 		}
-		for place, n := range w.crossed {
+		for place, n := range w.crossings {
 			if n > 1 {
 				rt.Errorf("site and chunk %s: crossed %d times", place, n)
 			}
@@ -208,12 +208,12 @@
 	})
 }
 
-// TestSpreadFaults runs rollouts in which boxes die and chunks are corrupted, late or declined: the living complete.
+// TestSpreadFaults checks that live boxes complete although others die and chunks are corrupt, late or declined.
 func TestSpreadFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		sites := rapid.IntRange(1, 4).Draw(rt, "sites")
 		boxes := rapid.IntRange(2*sites, 20).Draw(rt, "boxes")
-		w := newWorld(rt, testMembers(boxes, sites), rapid.IntRange(1, 40).Draw(rt, "chunks"), fleet.PreferOriginBytes)
+		w := newNodeSim(rt, testMembers(boxes, sites), rapid.IntRange(1, 40).Draw(rt, "chunks"), fleet.PreferOriginBytes)
 		w.fault = func() Fault {
 			if rapid.IntRange(0, 9).Draw(rt, "fault") > 0 {
 				return noFault
@@ -231,47 +231,47 @@
 	})
 }
 
-// TestSoleHolderLeftAlone: a chunk that only a box left alone holds is still asked for there.
-func TestSoleHolderLeftAlone(t *testing.T) {
+// TestSoleHolderPaused checks that a chunk held only by a paused peer is still requested from it.
+func TestSoleHolderPaused(t *testing.T) {
 	members := testMembers(2, 1)
 	n := NewNode(Params{Self: members[0]}, NewOrder("salt", 1, members), nil, testStart)
-	n.closed[0] = testStart.Add(time.Hour)
+	n.blockedUntil[0] = testStart.Add(time.Hour)
 	n.Peer(members[1])
 	n.PeerHas(members[1].ID, true, []uint32{0}, testStart)
 	for range faultsBeforePause {
-		n.asked[0] = ask{peer: members[1].ID, since: testStart}
+		n.requests[0] = chunkRequest{peer: members[1].ID, since: testStart}
 		n.Failed(0, members[1].ID, FaultCorrupt, testStart)
 	}
 	later := testStart.Add(time.Second)
 	if actions := n.Next(later); len(actions) != 1 || actions[0].Peer != members[1].ID {
-		t.Errorf("actions %+v, want the chunk asked of its only holder", actions)
+		t.Errorf("actions %+v, want the chunk requested from its only holder", actions)
 	}
 }
 
-// TestStalledAskGoesElsewhere: an ask that takes much longer than usual is given up and the chunk asked of another.
-func TestStalledAskGoesElsewhere(t *testing.T) {
+// TestStalledRequestGoesToAnotherPeer checks that a request that times out is repeated at another peer.
+func TestStalledRequestGoesToAnotherPeer(t *testing.T) {
 	members := testMembers(3, 1)
-	n := NewNode(Params{Self: members[0], Pulls: 1}, NewOrder("salt", 1, members), nil, testStart)
-	n.closed[0] = testStart.Add(time.Hour)
+	n := NewNode(Params{Self: members[0], MaxRequests: 1}, NewOrder("salt", 1, members), nil, testStart)
+	n.blockedUntil[0] = testStart.Add(time.Hour)
 	for _, member := range members[1:] {
 		n.Peer(member)
 		n.PeerHas(member.ID, true, []uint32{0}, testStart)
 	}
 	first := n.Next(testStart)
 	if len(first) != 1 {
-		t.Fatalf("actions %+v, want one ask", first)
+		t.Fatalf("actions %+v, want one request", first)
 	}
-	if again := n.Next(testStart.Add(DefaultPatience / 2)); len(again) != 0 {
-		t.Errorf("asked again too early: %+v", again)
+	if again := n.Next(testStart.Add(DefaultRequestTimeout / 2)); len(again) != 0 {
+		t.Errorf("requested again too early: %+v", again)
 	}
-	second := n.Next(testStart.Add(DefaultPatience + time.Second))
+	second := n.Next(testStart.Add(DefaultRequestTimeout + time.Second))
 	if len(second) != 1 || second[0].Peer == first[0].Peer {
-		t.Errorf("actions %+v, want an ask of another box than %s", second, first[0].Peer)
+		t.Errorf("actions %+v, want a request to another box than %s", second, first[0].Peer)
 	}
 }
 
-// TestOrderEven: no box is drawer, or home in its site, of more groups than its even share.
-func TestOrderEven(t *testing.T) {
+// TestOrderIsBalanced checks that no box is downloader or gateway of more groups than its even share.
+func TestOrderIsBalanced(t *testing.T) {
 	for name, tc := range map[string]struct{ boxes, sites, chunks int }{
 		"16 in 3":   {16, 3, 128},
 		"100 in 5":  {100, 5, 512},
@@ -280,25 +280,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := NewOrder("salt", tc.chunks, testMembers(tc.boxes, tc.sites))
-			draws, homes := make(map[string]int), make(map[string]int)
+			downloads, gateways := make(map[string]int), make(map[string]int)
 			for group := range o.Groups() {
-				for i, home := range o.Homes(group) {
-					homes[home.ID]++
+				for i, gateway := range o.Homes(group) {
+					gateways[gateway.ID]++
 					if i == 0 {
-						draws[home.ID]++
+						downloads[gateway.ID]++
 					}
 				}
 			}
 			perBox := (o.Groups() + tc.boxes - 1) / tc.boxes
 			perSiteBox := (o.Groups() + tc.boxes/tc.sites - 1) / (tc.boxes / tc.sites)
-			for id, n := range draws {
+			for id, n := range downloads {
 				if n > perBox+1 {
-					t.Errorf("%s draws %d groups, even is %d", id, n, perBox)
+					t.Errorf("%s downloads %d groups, even share is %d", id, n, perBox)
 				}
 			}
-			for id, n := range homes {
+			for id, n := range gateways {
 				if n > perSiteBox {
-					t.Errorf("%s is home of %d groups, even is %d", id, n, perSiteBox)
+					t.Errorf("%s is gateway of %d groups, even share is %d", id, n, perSiteBox)
 				}
 			}
 		})
