--- a/operate/doc.go
+++ b/operate/doc.go
@@ -1,3 +1,3 @@
-// Package operate carries out operators' statements: it plans the change that a
-// statement means, has it accepted as one transaction, and answers queries.
+// Package operate executes operators' statements: it plans a statement's change, commits it as one transaction, and
+// answers queries.
 package operate
--- a/operate/errors.go
+++ b/operate/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// RejectedError says that a statement asks for something that cannot be.
+// RejectedError reports a statement that is invalid for the fleet's current state.
 type RejectedError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *RejectedError) Error() string { return e.Reason }
 
-// UnknownNameError says that a statement names something that does not exist.
+// UnknownNameError reports a name in a statement that does not exist.
 type UnknownNameError struct{ What, Name string }
 
-// Error names it.
+// Error returns the kind and the name.
 func (e *UnknownNameError) Error() string { return fmt.Sprintf("there is no %s %q", e.What, e.Name) }
--- a/operate/executor.go
+++ b/operate/executor.go
@@ -19,32 +19,32 @@
 	Load(ctx context.Context, fleetName string) (fleet.Config, error)
 }
 
-// View tells what the boxes of a fleet report.
-type View interface {
+// BoxReporter returns the latest reports of a fleet's boxes.
+type BoxReporter interface {
 	Boxes() []BoxReport
 }
 
-// Executor carries out statements for an entry.
+// Executor executes statements for an entry.
 type Executor struct {
-	// Fleet is the entry's own fleet: queries that name none mean it.
+	// Fleet is the entry's own fleet, the default of queries.
 	Fleet  string
 	Ledger Ledger
-	View   View
-	// Accept is told of each configuration that was accepted; nil means that nobody is.
+	View   BoxReporter
+	// Accept is called with each accepted configuration; it may be nil.
 	Accept func(fleet.Config)
 }
 
-// Command is a statement with who sends it and how.
+// Command is a statement with its operator and conditions.
 type Command struct {
 	Operator string
-	// Operation is the id under which the decision is recorded; repeating it changes nothing more.
+	// Operation is the idempotency key of the change.
 	Operation string
 	Text      string
-	// IfRevision, when not 0, makes the statement fail unless the fleet is at that revision.
+	// IfRevision, if not 0, is the revision that the fleet must be at.
 	IfRevision fleet.Revision
 }
 
-// Result is what became of a statement.
+// Result is the outcome of a statement.
 type Result struct {
 	Message   string           `json:"message,omitempty"`
 	Fleet     string           `json:"fleet,omitempty"`
@@ -53,7 +53,7 @@
 	Table     *statement.Table `json:"table,omitempty"`
 }
 
-// Execute carries out one statement.
+// Execute executes one statement.
 func (e *Executor) Execute(ctx context.Context, cmd Command) (Result, error) {
 	stmt, err := statement.Parse(cmd.Text)
 	if err != nil {
@@ -62,18 +62,18 @@
 	if stmt.Show != nil {
 		return e.show(ctx, stmt.Show)
 	}
-	return e.decide(ctx, cmd, stmt)
+	return e.planAndCommit(ctx, cmd, stmt)
 }
 
-func (e *Executor) decide(ctx context.Context, cmd Command, stmt *statement.Statement) (Result, error) {
+func (e *Executor) planAndCommit(ctx context.Context, cmd Command, stmt *statement.Statement) (Result, error) {
 	name := stmt.FleetName()
 	if !stmt.Explain {
-		done, ok, err := e.Ledger.Accepted(ctx, name, cmd.Operation)
+		change, ok, err := e.Ledger.Accepted(ctx, name, cmd.Operation)
 		if err != nil {
 			return Result{}, &ledger.RefusedError{Err: err}
 		}
 		if ok {
-			return accepted(done, "accepted before"), nil
+			return accepted(change, "accepted before"), nil
 		}
 	}
 	cfg, err := e.Ledger.Load(ctx, name)
@@ -81,7 +81,7 @@
 		return Result{}, &ledger.RefusedError{Err: err}
 	}
 	if cmd.IfRevision != 0 && cfg.Revision != cmd.IfRevision {
-		return Result{}, e.movedOn(ctx, cmd.IfRevision, cfg)
+		return Result{}, e.revisionConflict(ctx, cmd.IfRevision, cfg)
 	}
 	change, err := Plan(cfg, stmt)
 	if err != nil {
@@ -106,8 +106,8 @@
 	return accepted(change, "accepted"), nil
 }
 
-// movedOn is the conflict of a statement made for an earlier revision.
-func (e *Executor) movedOn(ctx context.Context, base fleet.Revision, cfg fleet.Config) error {
+// revisionConflict returns the ConflictError of a statement for an earlier revision.
+func (e *Executor) revisionConflict(ctx context.Context, base fleet.Revision, cfg fleet.Config) error {
 	conflict := &ledger.ConflictError{Base: base}
 	changes, err := e.Ledger.History(ctx, cfg.Fleet, historyLimit)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return conflict
 }
 
-// explain tells what a change would do, box by box, without doing it.
+// explain returns what a change would do per box, without applying it.
 func (e *Executor) explain(cfg fleet.Config, change fleet.Change) Result {
 	change.Revision = cfg.Revision + 1
 	next := cfg.WithChange(change)
--- a/operate/plan.go
+++ b/operate/plan.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	maxReplicas = 100000
-	maxLimit    = 1000000
-	nameLength  = 100
+	maxReplicas   = 100000
+	maxTeamValue  = 1000000
+	maxNameLength = 100
 )
 
-// Plan returns the change that a statement means for a fleet as it is.
-// The change is empty but for its fleet when all is so already.
+// Plan returns the change that a statement makes to a fleet's configuration.
+// Apart from the fleet's name it is empty if nothing would change.
 func Plan(cfg fleet.Config, stmt *statement.Statement) (fleet.Change, error) {
 	change := fleet.Change{Fleet: stmt.FleetName()}
 	if err := checkName(change.Fleet); err != nil {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Empty reports whether a change would change nothing.
+// Empty reports whether a change has no effect.
 func Empty(c fleet.Change) bool {
 	return c.Prefer == nil && !c.DropFleet &&
 		len(c.PutServices) == 0 && len(c.DropServices) == 0 &&
@@ -57,7 +57,7 @@
 
 func planCreateFleet(change fleet.Change, exists bool) (fleet.Change, error) {
 	if exists {
-		return change, &RejectedError{Reason: fmt.Sprintf("fleet %q exists already", change.Fleet)}
+		return change, &RejectedError{Reason: fmt.Sprintf("fleet %q already exists", change.Fleet)}
 	}
 	prefer := fleet.PreferOriginBytes
 	change.Prefer = &prefer
@@ -69,7 +69,7 @@
 		return change, err
 	}
 	if _, ok := cfg.Services[create.Name.Text]; ok {
-		return change, &RejectedError{Reason: fmt.Sprintf("service %q exists already", create.Name.Text)}
+		return change, &RejectedError{Reason: fmt.Sprintf("service %q already exists", create.Name.Text)}
 	}
 	if create.Replicas < 1 || create.Replicas > maxReplicas {
 		return change, &RejectedError{Reason: fmt.Sprintf("replicas must be from 1 to %d", maxReplicas)}
@@ -88,7 +88,7 @@
 		return change, err
 	}
 	if service.Kind != fleet.KindModel {
-		return change, &RejectedError{Reason: fmt.Sprintf("service %q runs no model", service.Name)}
+		return change, &RejectedError{Reason: fmt.Sprintf("service %q does not run a model", service.Name)}
 	}
 	name := declare.Version.Text
 	if err := checkName(name); err != nil {
@@ -104,7 +104,7 @@
 			return change, err
 		}
 		if exists && known.Digest != digest.String() {
-			return change, &RejectedError{Reason: fmt.Sprintf("version %q already stands for %s", name, known.Digest)}
+			return change, &RejectedError{Reason: fmt.Sprintf("version %q already has digest %s", name, known.Digest)}
 		}
 		known = fleet.Version{Service: service.Name, Name: name, Digest: digest.String()}
 	}
@@ -190,7 +190,7 @@
 
 func planSetFleet(cfg fleet.Config, change fleet.Change, set *statement.Set) (fleet.Change, error) {
 	if set.Setting != "prefer" {
-		return change, notASetting(set.Setting, "fleet")
+		return change, unknownSetting(set.Setting, "fleet")
 	}
 	prefer := fleet.Preference(strings.ToLower(set.Value.String()))
 	if prefer != fleet.PreferOriginBytes && prefer != fleet.PreferTime {
@@ -210,25 +210,25 @@
 	next := service
 	switch set.Setting {
 	case "replicas":
-		n, err := number(set, 1, maxReplicas)
+		n, err := numberSetting(set, 1, maxReplicas)
 		if err != nil {
 			return change, err
 		}
 		next = service.WithReplicas(n)
 	case "rollout-share":
-		n, err := number(set, 1, 100)
+		n, err := numberSetting(set, 1, 100)
 		if err != nil {
 			return change, err
 		}
 		next = service.WithRolloutShare(n)
 	case "once":
-		once, err := yesNo(set)
+		once, err := boolSetting(set)
 		if err != nil {
 			return change, err
 		}
 		next = service.WithOnce(once)
 	default:
-		return change, notASetting(set.Setting, "service")
+		return change, unknownSetting(set.Setting, "service")
 	}
 	if next != service {
 		change.PutServices = []fleet.Service{next}
@@ -242,7 +242,7 @@
 	}
 	team := cfg.Teams[set.Team.Text]
 	team.Name = set.Team.Text
-	n, err := number(set, 1, maxLimit)
+	n, err := numberSetting(set, 1, maxTeamValue)
 	if err != nil {
 		return change, err
 	}
@@ -253,7 +253,7 @@
 	case "weight":
 		next = team.WithWeight(n)
 	default:
-		return change, notASetting(set.Setting, "team")
+		return change, unknownSetting(set.Setting, "team")
 	}
 	if next != cfg.Teams[team.Name] {
 		change.PutTeams = []fleet.Team{next}
@@ -263,10 +263,10 @@
 
 func checkName(name string) error {
 	if name == "" {
-		return &RejectedError{Reason: "a name is missing; say in which fleet"}
+		return &RejectedError{Reason: "a name is missing; the fleet is named with \"in\""}
 	}
-	if len(name) > nameLength {
-		return &RejectedError{Reason: fmt.Sprintf("a name is longer than %d bytes", nameLength)}
+	if len(name) > maxNameLength {
+		return &RejectedError{Reason: fmt.Sprintf("a name is longer than %d bytes", maxNameLength)}
 	}
 	if strings.ContainsAny(name, "#/") {
 		return &RejectedError{Reason: fmt.Sprintf("name %q contains # or /", name)}
@@ -282,24 +282,24 @@
 	return service, nil
 }
 
-func notASetting(setting, of string) error {
-	return &RejectedError{Reason: fmt.Sprintf("%s is no setting of a %s", setting, of)}
+func unknownSetting(setting, kind string) error {
+	return &RejectedError{Reason: fmt.Sprintf("%s is not a setting of a %s", setting, kind)}
 }
 
-func number(set *statement.Set, low, high int) (int, error) {
+func numberSetting(set *statement.Set, low, high int) (int, error) {
 	if set.Value.Number == nil || *set.Value.Number < low || *set.Value.Number > high {
-		return 0, &RejectedError{Reason: fmt.Sprintf("%s is a number from %d to %d", set.Setting, low, high)}
+		return 0, &RejectedError{Reason: fmt.Sprintf("%s must be a number from %d to %d", set.Setting, low, high)}
 	}
 	return *set.Value.Number, nil
 }
 
-func yesNo(set *statement.Set) (bool, error) {
+func boolSetting(set *statement.Set) (bool, error) {
 	switch strings.ToLower(set.Value.String()) {
 	case "yes":
 		return true, nil
 	case "no":
 		return false, nil
 	default:
-		return false, &RejectedError{Reason: set.Setting + " is yes or no"}
+		return false, &RejectedError{Reason: set.Setting + " must be yes or no"}
 	}
 }
--- a/operate/show.go
+++ b/operate/show.go
@@ -14,7 +14,7 @@
 
 const historyLimit = 200
 
-// BoxReport is what a box last said of itself, and how long ago.
+// BoxReport is a box's latest report.
 type BoxReport struct {
 	ID       string
 	Site     string
@@ -22,7 +22,7 @@
 	State    string
 	Version  string
 	Revision fleet.Revision
-	// Heard is how long ago the box was heard; negative when it never was.
+	// Heard is the time since the report; negative if there was none.
 	Heard   time.Duration
 	Load    int
 	Leaving bool
@@ -52,11 +52,11 @@
 func (e *Executor) table(ctx context.Context, what, name string) (statement.Table, error) {
 	switch what {
 	case "fleets":
-		return e.fleets(ctx)
+		return e.fleetsTable(ctx)
 	case "history":
-		return e.history(ctx, name)
+		return e.historyTable(ctx, name)
 	case "boxes":
-		return e.boxTable(name), nil
+		return e.boxesTable(name), nil
 	}
 	cfg, err := e.Ledger.Load(ctx, name)
 	if err != nil {
@@ -67,31 +67,31 @@
 	}
 	switch what {
 	case "services":
-		return e.services(cfg), nil
+		return e.servicesTable(cfg), nil
 	case "versions":
-		return versions(cfg), nil
+		return versionsTable(cfg), nil
 	case "teams":
-		return teams(cfg), nil
+		return teamsTable(cfg), nil
 	default:
-		return e.rollouts(cfg), nil
+		return e.rolloutsTable(cfg), nil
 	}
 }
 
-func (e *Executor) boxTable(name string) statement.Table {
+func (e *Executor) boxesTable(name string) statement.Table {
 	table := statement.Table{Columns: []string{
 		"box", "site", "service", "state", "version", "revision", "heard", "load", "have", "chunks", "origin-bytes", "peer-bytes", "given-bytes", "rejected",
 	}}
 	for _, box := range e.boxes(name) {
 		table.Rows = append(table.Rows, []string{
-			box.ID, box.Site, box.Service, stateOf(box), orDash(box.Version), strconv.FormatUint(uint64(box.Revision), 10),
-			heard(box.Heard), strconv.Itoa(box.Load), strconv.Itoa(box.Have), strconv.Itoa(box.Chunks),
-			bytesText(box.OriginBytes), bytesText(box.PeerBytes), bytesText(box.GivenBytes), strconv.Itoa(box.Rejected),
+			box.ID, box.Site, box.Service, boxState(box), orDash(box.Version), strconv.FormatUint(uint64(box.Revision), 10),
+			formatAge(box.Heard), strconv.Itoa(box.Load), strconv.Itoa(box.Have), strconv.Itoa(box.Chunks),
+			formatInt(box.OriginBytes), formatInt(box.PeerBytes), formatInt(box.GivenBytes), strconv.Itoa(box.Rejected),
 		})
 	}
 	return table
 }
 
-func (e *Executor) fleets(ctx context.Context) (statement.Table, error) {
+func (e *Executor) fleetsTable(ctx context.Context) (statement.Table, error) {
 	table := statement.Table{Columns: []string{"fleet", "revision", "prefer", "services"}}
 	names, err := e.Ledger.Fleets(ctx)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return table, nil
 }
 
-func (e *Executor) history(ctx context.Context, name string) (statement.Table, error) {
+func (e *Executor) historyTable(ctx context.Context, name string) (statement.Table, error) {
 	table := statement.Table{Columns: []string{"revision", "at", "operator", "statement", "operation"}}
 	changes, err := e.Ledger.History(ctx, name, historyLimit)
 	if err != nil {
@@ -126,7 +126,7 @@
 	return table, nil
 }
 
-func (e *Executor) rollouts(cfg fleet.Config) statement.Table {
+func (e *Executor) rolloutsTable(cfg fleet.Config) statement.Table {
 	table := statement.Table{Columns: []string{"service", "version", "replicas", "boxes", "serving", "under-way", "origin-bytes", "peer-bytes", "rejected"}}
 	for _, name := range cfg.ServiceNames() {
 		version, ok := cfg.Declared(name)
@@ -149,13 +149,13 @@
 		}
 		table.Rows = append(table.Rows, []string{
 			name, version.Name, strconv.Itoa(cfg.Services[name].Replicas), strconv.Itoa(boxes), strconv.Itoa(serving),
-			strconv.Itoa(boxes - serving), bytesText(origin), bytesText(peer), strconv.Itoa(rejected),
+			strconv.Itoa(boxes - serving), formatInt(origin), formatInt(peer), strconv.Itoa(rejected),
 		})
 	}
 	return table
 }
 
-func (e *Executor) services(cfg fleet.Config) statement.Table {
+func (e *Executor) servicesTable(cfg fleet.Config) statement.Table {
 	table := statement.Table{Columns: []string{"service", "kind", "version", "replicas", "serving", "rollout-share", "once"}}
 	for _, name := range cfg.ServiceNames() {
 		service := cfg.Services[name]
@@ -181,7 +181,7 @@
 	return table
 }
 
-func teams(cfg fleet.Config) statement.Table {
+func teamsTable(cfg fleet.Config) statement.Table {
 	table := statement.Table{Columns: []string{"team", "concurrency", "weight"}}
 	for _, name := range slices.Sorted(maps.Keys(cfg.Teams)) {
 		team := cfg.Teams[name]
@@ -190,7 +190,7 @@
 	return table
 }
 
-func versions(cfg fleet.Config) statement.Table {
+func versionsTable(cfg fleet.Config) statement.Table {
 	table := statement.Table{Columns: []string{"service", "version", "digest", "declared"}}
 	for _, key := range slices.Sorted(maps.Keys(cfg.Versions)) {
 		version := cfg.Versions[key]
@@ -203,10 +203,10 @@
 	return table
 }
 
-func bytesText(n int64) string { return strconv.FormatInt(n, 10) }
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// heard tells how many seconds ago a box was heard.
-func heard(ago time.Duration) string {
+// formatAge formats the age of a report in seconds.
+func formatAge(ago time.Duration) string {
 	if ago < 0 {
 		return "never"
 	}
@@ -220,7 +220,7 @@
 	return text
 }
 
-func stateOf(box BoxReport) string {
+func boxState(box BoxReport) string {
 	if box.Leaving {
 		return "leaving"
 	}
