--- a/statement/doc.go
+++ b/statement/doc.go
@@ -1,4 +1,3 @@
-// Package statement is the query and command language of operators: its
-// grammar, its statements as typed values, and the tables that queries answer
-// with. docs/language.md lists every statement with an example.
+// Package statement is the operators' query and command language: its grammar, its statements as typed values, and the
+// tables that queries return. docs/language.md lists every statement with an example.
 package statement
--- a/statement/grammar.go
+++ b/statement/grammar.go
@@ -9,10 +9,10 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// MaxLength is the longest statement that is read, in bytes.
+// MaxLength is the maximum length of a statement, in bytes.
 const MaxLength = 16 << 10
 
-// Statement is one statement; exactly one of its parts is set.
+// Statement is a parsed statement; exactly one of its pointers is set.
 type Statement struct {
 	Explain bool     `parser:"@'explain'?"`
 	Create  *Create  `parser:"( 'create' @@"`
@@ -24,13 +24,13 @@
 	Show    *Show    `parser:"| 'show' @@ ) ';'?"`
 }
 
-// Create makes a fleet or a service.
+// Create creates a fleet or a service.
 type Create struct {
 	Fleet   *Name          `parser:"( 'fleet' @@"`
 	Service *CreateService `parser:"| 'service' @@ )"`
 }
 
-// CreateService makes a service in a fleet.
+// CreateService creates a service in a fleet.
 type CreateService struct {
 	Name     Name   `parser:"@@"`
 	Fleet    Name   `parser:"'in' @@"`
@@ -39,7 +39,7 @@
 	Once     bool   `parser:"@'once'?"`
 }
 
-// Declare makes a version the one that a service should run; the digest may be left out for a version known already.
+// Declare sets the version that a service should run; the digest is optional for a known version.
 type Declare struct {
 	Version Name  `parser:"'version' @@"`
 	Service Name  `parser:"'of' @@"`
@@ -63,14 +63,14 @@
 	Fleet Name `parser:"'in' @@"`
 }
 
-// Drop removes a fleet without services, a service or a version; without its declared version a service runs none.
+// Drop removes a fleet without services, a service, or a version; a service whose declared version is dropped runs none.
 type Drop struct {
 	Fleet   *Name        `parser:"( 'fleet' @@"`
 	Service *InFleet     `parser:"| 'service' @@"`
 	Version *DropVersion `parser:"| 'version' @@ )"`
 }
 
-// InFleet names something of a fleet.
+// InFleet names an object of a fleet.
 type InFleet struct {
 	Name  Name `parser:"@@"`
 	Fleet Name `parser:"'in' @@"`
@@ -83,7 +83,7 @@
 	Fleet   Name `parser:"'in' @@"`
 }
 
-// Show asks for a table.
+// Show queries a table.
 type Show struct {
 	What  string      `parser:"@( 'fleets' | 'services' | 'versions' | 'boxes' | 'rollouts' | 'teams' | 'history' )"`
 	Fleet *Name       `parser:"( 'in' @@ )?"`
@@ -92,31 +92,31 @@
 	Limit *int        `parser:"( 'limit' @Number )?"`
 }
 
-// Condition compares a column with a value.
+// Condition is a comparison of a column with a value.
 type Condition struct {
 	Column string `parser:"@Ident"`
 	Op     string `parser:"@( '=' | '!=' | '<=' | '>=' | '<' | '>' )"`
 	Value  Value  `parser:"@@"`
 }
 
-// Order sorts by a column.
+// Order is the sort order of a query.
 type Order struct {
 	Column     string `parser:"@Ident"`
 	Descending bool   `parser:"( @'desc' | 'asc' )?"`
 }
 
-// Name is a name, plain or in single quotes.
+// Name is an identifier or a single-quoted string.
 type Name struct {
 	Text string `parser:"@( Ident | String | Digest )"`
 }
 
-// Value is a number, perhaps a percentage, or a word.
+// Value is a number with an optional percent sign, or a name.
 type Value struct {
 	Number *int   `parser:"( @Number '%'?"`
 	Text   string `parser:"| @( Ident | String | Digest ) )"`
 }
 
-// SyntaxError says where a statement is not understood and what was expected there.
+// SyntaxError reports the position of a syntax error, counted from 1, and what was expected there.
 type SyntaxError struct {
 	Line, Column int
 	Message      string
@@ -139,7 +139,7 @@
 	participle.UseLookahead(2),
 )
 
-// Parse reads one statement; its error is a SyntaxError.
+// Parse parses one statement; its errors are of type *SyntaxError.
 func Parse(text string) (*Statement, error) {
 	if len(text) > MaxLength {
 		return nil, &SyntaxError{Line: 1, Column: 1, Message: fmt.Sprintf("statement is longer than %d bytes", MaxLength)}
@@ -148,20 +148,20 @@
 	if err == nil {
 		return stmt, nil
 	}
-	var located participle.Error
-	if errors.As(err, &located) {
-		pos := located.Position()
-		return nil, &SyntaxError{Line: max(1, pos.Line), Column: max(1, pos.Column), Message: located.Message()}
+	var positioned participle.Error
+	if errors.As(err, &positioned) {
+		pos := positioned.Position()
+		return nil, &SyntaxError{Line: max(1, pos.Line), Column: max(1, pos.Column), Message: positioned.Message()}
 	}
 	return nil, &SyntaxError{Line: 1, Column: 1, Message: err.Error()}
 }
 
-// Error gives line, column and what was expected.
+// Error returns the line, the column and the message.
 func (e *SyntaxError) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// FleetName returns the fleet that the statement is about; empty when it names none.
+// FleetName returns the name of the statement's fleet, or an empty string if it names none.
 func (s *Statement) FleetName() string {
 	switch {
 	case s.Create != nil && s.Create.Fleet != nil:
--- a/statement/grammar_test.go
+++ b/statement/grammar_test.go
@@ -107,7 +107,7 @@
 		}
 		var syntax *SyntaxError
 		if !errors.As(err, &syntax) || syntax.Line < 1 || syntax.Column < 1 {
-			t.Errorf("error %v has no place", err)
+			t.Errorf("error %v has no position", err)
 		}
 	})
 }
--- a/statement/table.go
+++ b/statement/table.go
@@ -7,24 +7,24 @@
 	"strconv"
 )
 
-// Table is the answer to a query.
+// Table is the result of a query.
 type Table struct {
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// ColumnError says that a query names a column that its table does not have.
+// ColumnError reports a query for a column that the table does not have.
 type ColumnError struct {
 	Column  string
 	Columns []string
 }
 
-// Error names the columns there are.
+// Error returns the column and the table's columns.
 func (e *ColumnError) Error() string {
 	return fmt.Sprintf("there is no column %q; the columns are %v", e.Column, e.Columns)
 }
 
-// Apply filters, sorts and cuts a table as a query asks.
+// Apply applies the query's conditions, order and limit to a table.
 func (s *Show) Apply(table Table) (Table, error) {
 	rows := slices.Clone(table.Rows)
 	for _, condition := range s.Where {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return Table{}, err
 		}
-		rows = slices.DeleteFunc(rows, func(row []string) bool { return !condition.holds(row[column]) })
+		rows = slices.DeleteFunc(rows, func(row []string) bool { return !condition.matches(row[column]) })
 	}
 	if s.Order != nil {
 		column, err := table.index(s.Order.Column)
@@ -52,7 +52,7 @@
 	return Table{Columns: table.Columns, Rows: rows}, nil
 }
 
-func (c Condition) holds(cell string) bool {
+func (c Condition) matches(cell string) bool {
 	order := compare(cell, c.Value.String())
 	switch c.Op {
 	case "=":
@@ -78,7 +78,7 @@
 	return i, nil
 }
 
-// compare orders two cells by number when both are numbers, else as text.
+// compare compares two cells as numbers if both are numbers, else as text.
 func compare(a, b string) int {
 	x, errX := strconv.ParseFloat(a, 64)
 	y, errY := strconv.ParseFloat(b, 64)
