--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,3 +1,3 @@
-// Package ledger keeps accepted decisions in the platform's table service: one
-// transaction each, found again by the operation's id when an answer was lost.
+// Package ledger stores accepted changes in the platform's table service. Each change is one transaction, recorded under its
+// operation's id so that a lost response can be resolved.
 package ledger
--- a/ledger/errors.go
+++ b/ledger/errors.go
@@ -7,13 +7,13 @@
 	"github.com/coralstair/coralstair/fleet"
 )
 
-// ConflictError says that other decisions were accepted first; nothing was changed.
+// ConflictError reports that other changes were accepted first; nothing was changed.
 type ConflictError struct {
 	Base  fleet.Revision
 	Since []fleet.Change
 }
 
-// Error tells what the other operators did.
+// Error lists the changes since the base revision.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "the fleet is no longer at revision %d", e.Base)
@@ -23,24 +23,24 @@
 	return b.String()
 }
 
-// UnknownError says that it could not be found out whether a decision took effect.
+// UnknownError reports a change whose outcome is unknown.
 type UnknownError struct {
 	Operation string
 	Err       error
 }
 
-// Error names the operation to ask for again.
+// Error returns the operation's id and the cause.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("whether operation %s took effect is not known; repeat it with the same id: %v", e.Operation, e.Err)
+	return fmt.Sprintf("the outcome of operation %s is unknown; repeat it with the same id: %v", e.Operation, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// RefusedError says that the platform did not take a decision; nothing was changed.
+// RefusedError reports a failed request to the table service; nothing was changed.
 type RefusedError struct{ Err error }
 
-// Error gives the cause.
+// Error returns the cause.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("nothing was accepted: %v", e.Err)
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -17,8 +17,8 @@
 	historyPrefix   = "history#"
 	operationPrefix = "op#"
 
-	commitAttempts = 3
-	conflictShown  = 5
+	maxCommitAttempts  = 3
+	maxConflictChanges = 5
 )
 
 // Table is the part of the platform's table service that the ledger uses.
@@ -28,17 +28,17 @@
 	Transact(ctx context.Context, token string, puts ...store.Put) error
 }
 
-// Ledger reads and writes the declared state of fleets.
+// Ledger reads and writes the configurations of fleets.
 type Ledger struct {
 	table Table
 }
 
-// New returns a ledger on a table.
+// New returns a ledger that stores its data in a table.
 func New(table Table) *Ledger {
 	return &Ledger{table: table}
 }
 
-// Accepted returns the change that an operation made; ok is false when none is recorded.
+// Accepted returns the change recorded under an operation's id; ok is false if there is none.
 func (l *Ledger) Accepted(ctx context.Context, fleetName, operation string) (change fleet.Change, ok bool, err error) {
 	row, ok, err := l.table.Get(ctx, fleetKey(fleetName, operationPrefix+operation))
 	if err != nil || !ok {
@@ -48,16 +48,16 @@
 	return change, err == nil, err
 }
 
-// Commit writes one decision made on base and returns the configuration after it.
-// A ConflictError or RefusedError means that nothing changed; an UnknownError that this could not be found out.
+// Commit writes a change based on base and returns the resulting configuration. After a ConflictError or RefusedError
+// nothing has changed; after an UnknownError the outcome is unknown.
 func (l *Ledger) Commit(ctx context.Context, base fleet.Config, change fleet.Change) (fleet.Config, error) {
 	change.Revision = base.Revision + 1
 	next := base.WithChange(change)
-	puts, err := putsOf(base, next, change)
+	puts, err := commitPuts(base, next, change)
 	if err != nil {
 		return fleet.Config{}, err
 	}
-	for range commitAttempts {
+	for range maxCommitAttempts {
 		err = l.table.Transact(ctx, change.Operation, puts...)
 		if err == nil {
 			return next, nil
@@ -75,7 +75,7 @@
 
 // Fleets returns the names of all fleets.
 func (l *Ledger) Fleets(ctx context.Context) ([]string, error) {
-	rows, err := l.table.Query(ctx, fleetsPartition, "", fleetsLimit, false)
+	rows, err := l.table.Query(ctx, fleetsPartition, "", maxFleets, false)
 	if err != nil {
 		return nil, err
 	}
@@ -86,15 +86,15 @@
 	return names, nil
 }
 
-const fleetsLimit = 1000
+const maxFleets = 1000
 
-// Head returns the newest revision of a fleet; 0 means that it does not exist.
+// Head returns the latest revision of a fleet, or 0 if the fleet does not exist.
 func (l *Ledger) Head(ctx context.Context, fleetName string) (fleet.Revision, error) {
 	row, _, err := l.table.Get(ctx, fleetKey(fleetName, headSort))
 	return fleet.Revision(row.Number), err
 }
 
-// History returns up to limit changes of a fleet, the newest first.
+// History returns up to limit changes of a fleet, newest first.
 func (l *Ledger) History(ctx context.Context, fleetName string, limit int) ([]fleet.Change, error) {
 	rows, err := l.table.Query(ctx, fleetPartition(fleetName), historyPrefix, limit, true)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return changes, nil
 }
 
-// Load returns the configuration of a fleet; its revision is 0 when there is none.
+// Load returns the configuration of a fleet; its revision is 0 if the fleet does not exist.
 func (l *Ledger) Load(ctx context.Context, fleetName string) (fleet.Config, error) {
 	row, ok, err := l.table.Get(ctx, fleetKey(fleetName, configSort))
 	if err != nil || !ok {
@@ -120,7 +120,8 @@
 	return fleet.DecodeConfig(row.Body)
 }
 
-// resolve tells an own earlier attempt, whose answer was lost, from another operator's decision.
+// resolve handles a failed condition: it distinguishes an earlier attempt of this commit, whose response was lost, from
+// another operator's change.
 func (l *Ledger) resolve(ctx context.Context, base, next fleet.Config, change fleet.Change) (fleet.Config, error) {
 	own, ok, err := l.Accepted(ctx, change.Fleet, change.Operation)
 	if err != nil {
@@ -135,8 +136,8 @@
 	return fleet.Config{}, l.conflict(ctx, base)
 }
 
-// resolveLost finds out by the operation's id what became of a write without an answer.
-// A write that is not found may still arrive later, so that its absence proves nothing.
+// resolveLost looks up the operation's id after a write without a response. The write may still take effect later, so its
+// absence does not prove a failure.
 func (l *Ledger) resolveLost(ctx context.Context, next fleet.Config, change fleet.Change, cause error) (fleet.Config, error) {
 	_, ok, err := l.Accepted(ctx, change.Fleet, change.Operation)
 	if err == nil && ok {
@@ -146,7 +147,7 @@
 }
 
 func (l *Ledger) conflict(ctx context.Context, base fleet.Config) error {
-	changes, err := l.History(ctx, base.Fleet, conflictShown)
+	changes, err := l.History(ctx, base.Fleet, maxConflictChanges)
 	if err != nil {
 		return &RefusedError{Err: err}
 	}
@@ -170,7 +171,7 @@
 	return fmt.Sprintf("%s%012d", historyPrefix, revision)
 }
 
-func putsOf(base, next fleet.Config, change fleet.Change) ([]store.Put, error) {
+func commitPuts(base, next fleet.Config, change fleet.Change) ([]store.Put, error) {
 	configBody, err := next.Encode()
 	if err != nil {
 		return nil, err
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -38,23 +38,23 @@
 				}
 			},
 		},
-		"answer lost": {
+		"response lost": {
 			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseAnswers(1) },
 			check: func(t *testing.T, cfg fleet.Config, err error) {
 				if err != nil || cfg.Revision != 1 {
-					t.Errorf("a lost answer was not resolved: %+v, %v", cfg, err)
+					t.Errorf("a lost response was not resolved: %+v, %v", cfg, err)
 				}
 			},
 		},
-		"answers lost twice and more": {
+		"several responses lost": {
 			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseAnswers(5) },
 			check: func(t *testing.T, cfg fleet.Config, err error) {
 				if err != nil || cfg.Revision != 1 {
-					t.Errorf("lost answers were not resolved: %+v, %v", cfg, err)
+					t.Errorf("lost responses were not resolved: %+v, %v", cfg, err)
 				}
 			},
 		},
-		"another operator first": {
+		"change by another operator first": {
 			before: func(t *testing.T, l *ledger.Ledger, _ *lab.Table) {
 				if _, err := l.Commit(context.Background(), fleet.Config{Fleet: "f"}, stop("other", "b9")); err != nil {
 					t.Fatal(err)
@@ -63,16 +63,16 @@
 			check: func(t *testing.T, _ fleet.Config, err error) {
 				var conflict *ledger.ConflictError
 				if !errors.As(err, &conflict) || len(conflict.Since) != 1 || conflict.Since[0].Operator != "op-other" {
-					t.Errorf("error %v, want a conflict that tells what the other did", err)
+					t.Errorf("error %v, want a conflict that lists the other change", err)
 				}
 			},
 		},
-		"out": {
+		"table unavailable": {
 			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.SetOut(true) },
 			check: func(t *testing.T, _ fleet.Config, err error) {
 				var unknown *ledger.UnknownError
 				if !errors.As(err, &unknown) {
-					t.Errorf("error %v, want unknown: a request without an answer may still take effect", err)
+					t.Errorf("error %v, want unknown: a request without a response may still take effect", err)
 				}
 			},
 		},
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestOperatorsRace has operators decide at the same moment while answers get lost: every decision that was accepted
-// is in the history once, revisions have no gaps, and none that was refused is there.
+// TestOperatorsRace checks concurrent commits with lost responses: every accepted change is in the history once, refused
+// changes are not, and revisions have no gaps.
 func TestOperatorsRace(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		local := lab.NewLocalTable()
@@ -122,7 +122,7 @@
 		seen := make(map[string]int)
 		for i, change := range history {
 			if want := fleet.Revision(len(history) - i); change.Revision != want {
-				rt.Fatalf("revision %d at place %d, want %d", change.Revision, i, want)
+				rt.Fatalf("revision %d at index %d, want %d", change.Revision, i, want)
 			}
 			seen[change.Operation]++
 		}
--- a/ledger/main_test.go
+++ b/ledger/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the randomised tests, so that each run gives the same verdict; a long run sets
-// CORALSTAIR_FREE_SEED to have another each time.
+// TestMain fixes the seed of the randomised tests for reproducible runs; CORALSTAIR_FREE_SEED in the environment makes it random.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("CORALSTAIR_FREE_SEED") == "" {
