--- a/report/counts.go
+++ b/report/counts.go
@@ -7,58 +7,55 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Counts are requests by what became of them.
+// Counts are the numbers of requests by outcome.
 type Counts struct {
-	Asked, InTime, Late, Refused, Failed, Gone int
-	// Returns are those that came back after a refusal, Served those of them that were answered.
-	Returns, Served int
+	Requests, InTime, Late, Refused, Failed, CallerGone int
+	// Retries are requests tried again after a refusal, RetriesAnswered those of them that were answered.
+	Retries, RetriesAnswered int
 }
 
-// add counts a request.
 func (c *Counts) add(l line) {
-	c.Asked++
-	what := outcomeOf(l)
-	switch what {
+	c.Requests++
+	result := classify(l)
+	switch result {
 	case inTime:
 		c.InTime++
 	case late:
 		c.Late++
 	case refused:
 		c.Refused++
-	case gone:
-		c.Gone++
+	case callerGone:
+		c.CallerGone++
 	default:
 		c.Failed++
 	}
 	if l.Waited > 0 {
-		c.Returns++
-		if what == inTime || what == late {
-			c.Served++
+		c.Retries++
+		if result == inTime || result == late {
+			c.RetriesAnswered++
 		}
 	}
 }
 
-// plus adds other counts.
-func (c *Counts) plus(other Counts) {
-	c.Asked += other.Asked
+func (c *Counts) merge(other Counts) {
+	c.Requests += other.Requests
 	c.InTime += other.InTime
 	c.Late += other.Late
 	c.Refused += other.Refused
 	c.Failed += other.Failed
-	c.Gone += other.Gone
-	c.Returns += other.Returns
-	c.Served += other.Served
+	c.CallerGone += other.CallerGone
+	c.Retries += other.Retries
+	c.RetriesAnswered += other.RetriesAnswered
 }
 
-// share returns a part of the requests in percent.
-func (c *Counts) share(part int) float64 {
-	if c.Asked == 0 {
+// percent returns part as a percentage of all requests.
+func (c *Counts) percent(part int) float64 {
+	if c.Requests == 0 {
 		return 0
 	}
-	return 100 * float64(part) / float64(c.Asked)
+	return 100 * float64(part) / float64(c.Requests)
 }
 
-// outcome is what became of a request.
 type outcome int
 
 const (
@@ -66,24 +63,24 @@
 	inTime
 	late
 	refused
-	gone
+	callerGone
 )
 
-// Outcomes as the log has them.
+// Outcomes as logged.
 const (
 	outcomeAnswered = "answered"
 	outcomeGone     = "caller-gone"
 )
 
-// outcomeOf tells what became of a request: an answer counts from the caller's first try.
-func outcomeOf(l line) outcome {
+// classify returns the outcome of a request. An answer is late if it exceeds the goal counted from the caller's first try.
+func classify(l line) outcome {
 	switch {
-	case l.Outcome == outcomeAnswered && l.Goal > 0 && l.Waited+l.First > l.Goal:
+	case l.Outcome == outcomeAnswered && l.Goal > 0 && l.Waited+l.FirstEvent > l.Goal:
 		return late
 	case l.Outcome == outcomeAnswered:
 		return inTime
 	case l.Outcome == outcomeGone:
-		return gone
+		return callerGone
 	case l.Status == http.StatusServiceUnavailable || l.Status == http.StatusTooManyRequests:
 		return refused
 	default:
@@ -91,16 +88,16 @@
 	}
 }
 
-// The range and exactness of histograms of times, in milliseconds.
+// The range, in milliseconds, and the precision of time histograms.
 const (
-	leastTime = 1
-	mostTime  = int64(10 * time.Minute / time.Millisecond)
-	digits    = 2
+	minTime   = 1
+	maxTime   = int64(10 * time.Minute / time.Millisecond)
+	precision = 2
 )
 
-func newTimes() *hdrhistogram.Histogram { return hdrhistogram.New(leastTime, mostTime, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minTime, maxTime, precision) }
 
-// record notes a time in milliseconds; one beyond the range counts as the longest.
-func record(h *hdrhistogram.Histogram, ms int64) {
-	_ = h.RecordValue(min(max(ms, leastTime), mostTime))
+// recordTime records a time in milliseconds, clamped to the range.
+func recordTime(h *hdrhistogram.Histogram, ms int64) {
+	_ = h.RecordValue(min(max(ms, minTime), maxTime))
 }
--- a/report/html.go
+++ b/report/html.go
@@ -17,22 +17,21 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The size of a plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
 )
 
-// share is one line of a plot over time.
-type share struct {
-	name string
-	tint color.Color
-	of   func(c Counts) float64
+// series is one line of a plot over time.
+type series struct {
+	name      string
+	lineColor color.Color
+	value     func(c Counts) float64
 }
 
-// percent returns a function that gives a part of the requests in percent.
-func percent(part func(c Counts) int) func(c Counts) float64 {
-	return func(c Counts) float64 { return c.share(part(c)) }
+// percentOf returns a function that computes part as a percentage of the requests.
+func percentOf(part func(c Counts) int) func(c Counts) float64 {
+	return func(c Counts) float64 { return c.percent(part(c)) }
 }
 
 var (
@@ -43,15 +42,15 @@
 	blue   = color.RGBA{R: 40, G: 80, B: 190, A: 255}
 )
 
-var shares = []share{
-	{"in time", green, percent(func(c Counts) int { return c.InTime })},
-	{"late", orange, percent(func(c Counts) int { return c.Late })},
-	{"refused", red, percent(func(c Counts) int { return c.Refused })},
-	{"failed", grey, percent(func(c Counts) int { return c.Failed })},
-	{"returns", blue, percent(func(c Counts) int { return c.Returns })},
+var allSeries = []series{
+	{"in time", green, percentOf(func(c Counts) int { return c.InTime })},
+	{"late", orange, percentOf(func(c Counts) int { return c.Late })},
+	{"refused", red, percentOf(func(c Counts) int { return c.Refused })},
+	{"failed", grey, percentOf(func(c Counts) int { return c.Failed })},
+	{"returns", blue, percentOf(func(c Counts) int { return c.Retries })},
 }
 
-var page = template.Must(template.New("report").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("report").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>coralstair report</title>
 <style>body{font-family:sans-serif;margin:2em}pre{overflow:auto}svg{max-width:100%;height:auto}</style></head><body>
 <h1>coralstair report</h1>
@@ -62,23 +61,22 @@
 </body></html>
 `))
 
-// drawn is a plot on the page.
-type drawn struct {
+type plotSection struct {
 	Title string
 	SVG   template.HTML
 }
 
-// HTML writes the report as one page that needs no other file.
+// HTML writes the report as a self-contained page.
 func (r *Report) HTML(to io.Writer) error {
-	var plots []drawn
-	over := []struct {
-		title string
-		at    func(slot int64) Counts
-	}{{"All tries, percent", r.at}}
+	var plots []plotSection
+	charts := []struct {
+		title  string
+		counts func(slot int64) Counts
+	}{{"All tries, percent", r.slotCounts}}
 	for _, name := range slices.Sorted(maps.Keys(r.routes)) {
-		over = append(over, struct {
-			title string
-			at    func(slot int64) Counts
+		charts = append(charts, struct {
+			title  string
+			counts func(slot int64) Counts
 		}{"Route " + name + ", percent", func(slot int64) Counts {
 			if c := r.slots[slot][name]; c != nil {
 				return *c
@@ -86,47 +84,47 @@
 			return Counts{}
 		}})
 	}
-	for _, o := range over {
-		svg, err := r.plot(o.at)
+	for _, c := range charts {
+		svg, err := r.plot(c.counts)
 		if err != nil {
 			return err
 		}
-		plots = append(plots, drawn{o.title, svg})
+		plots = append(plots, plotSection{c.title, svg})
 	}
-	bands, err := r.plotVersions()
+	timeline, err := r.plotVersions()
 	if err != nil {
 		return err
 	}
-	plots = append(plots, drawn{"Versions: aimed at, held, run (seconds from the first line)", bands})
+	plots = append(plots, plotSection{"Versions: aimed at, held, run (seconds from the first line)", timeline})
 	var text strings.Builder
 	if err := r.Text(&text); err != nil {
 		return err
 	}
-	return page.Execute(to, struct {
-		Plots []drawn
+	return pageTemplate.Execute(to, struct {
+		Plots []plotSection
 		Text  string
 	}{plots, text.String()})
 }
 
-// since returns the seconds from the first slot to a time.
-func (r *Report) since(at time.Time) float64 {
-	times := r.times()
+// secondsSinceStart returns the seconds from the first slot to a time.
+func (r *Report) secondsSinceStart(at time.Time) float64 {
+	times := r.sortedSlots()
 	if len(times) == 0 {
 		return 0
 	}
-	return at.Sub(r.begins(times[0])).Seconds()
+	return at.Sub(r.slotStart(times[0])).Seconds()
 }
 
-// plot draws shares over time.
-func (r *Report) plot(at func(slot int64) Counts) (template.HTML, error) {
+// plot plots all series over time.
+func (r *Report) plot(counts func(slot int64) Counts) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Min, p.Y.Max = 0, 100
 	p.Legend.Top = true
-	for _, s := range shares {
+	for _, s := range allSeries {
 		var points plotter.XYs
-		for _, slot := range r.times() {
-			points = append(points, plotter.XY{X: r.since(r.begins(slot)), Y: s.of(at(slot))})
+		for _, slot := range r.sortedSlots() {
+			points = append(points, plotter.XY{X: r.secondsSinceStart(r.slotStart(slot)), Y: s.value(counts(slot))})
 		}
 		if len(points) == 0 {
 			continue
@@ -135,28 +133,28 @@
 		if err != nil {
 			return "", err
 		}
-		line.Color = s.tint
+		line.Color = s.lineColor
 		p.Add(line)
 		p.Legend.Add(s.name, line)
 	}
-	return svgOf(p)
+	return renderSVG(p)
 }
 
-// plotVersions draws from when to when boxes aimed at each version, held it and ran it.
+// plotVersions plots the periods in which boxes targeted, held and ran each version.
 func (r *Report) plotVersions() (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
 	p.Y.Label.Text = "version"
 	for n, v := range r.versions {
 		for i, b := range []struct {
-			band
+			timeSpan
 			tint color.Color
-		}{{v.aimed, grey}, {v.held, orange}, {v.runs, green}} {
+		}{{v.targeted, grey}, {v.held, orange}, {v.running, green}} {
 			if b.n == 0 {
 				continue
 			}
 			y := float64(n) + float64(i)/4
-			line, err := plotter.NewLine(plotter.XYs{{X: r.since(b.first), Y: y}, {X: r.since(b.last) + r.width.Seconds()/4, Y: y}})
+			line, err := plotter.NewLine(plotter.XYs{{X: r.secondsSinceStart(b.first), Y: y}, {X: r.secondsSinceStart(b.last) + r.width.Seconds()/4, Y: y}})
 			if err != nil {
 				return "", err
 			}
@@ -164,11 +162,11 @@
 			p.Add(line)
 		}
 	}
-	return svgOf(p)
+	return renderSVG(p)
 }
 
-// svgOf draws a plot as an element of a page.
-func svgOf(p *plot.Plot) (template.HTML, error) {
+// renderSVG renders a plot as an svg element.
+func renderSVG(p *plot.Plot) (template.HTML, error) {
 	canvas := vgsvg.New(plotWidth, plotHeight)
 	p.Draw(draw.New(canvas))
 	var svg bytes.Buffer
--- a/report/line.go
+++ b/report/line.go
@@ -11,53 +11,52 @@
 )
 
 const (
-	// maxLine bounds one line of a log, in bytes.
-	maxLine = 1 << 20
-	// shownFaults is how many lines that cannot be read are named.
-	shownFaults = 5
+	maxLineBytes = 1 << 20
+	// maxFaults is how many unreadable lines are reported individually.
+	maxFaults = 5
 )
 
-// line is what the report reads of one line of a log.
+// line has the fields of a log line that the report uses.
 type line struct {
-	At        time.Time `json:"at"`
-	Msg       string    `json:"msg"`
-	Node      string    `json:"node"`
-	Route     string    `json:"route"`
-	Team      string    `json:"team"`
-	Outcome   string    `json:"outcome"`
-	Status    int       `json:"status"`
-	First     int64     `json:"first_ms"`
-	Predicted int64     `json:"predicted_ms"`
-	Waited    int64     `json:"waited_ms"`
-	Goal      int64     `json:"goal_ms"`
-	ReportAge int64     `json:"report_ms"`
-	Writing   int       `json:"writing"`
-	Reading   int       `json:"reading"`
-	Attempts  int       `json:"attempts"`
-	Cause     string    `json:"cause"`
-	Version   int64     `json:"version"`
-	Site      string    `json:"site"`
+	At         time.Time `json:"at"`
+	Msg        string    `json:"msg"`
+	Node       string    `json:"node"`
+	Route      string    `json:"route"`
+	Team       string    `json:"team"`
+	Outcome    string    `json:"outcome"`
+	Status     int       `json:"status"`
+	FirstEvent int64     `json:"first_ms"`
+	Predicted  int64     `json:"predicted_ms"`
+	Waited     int64     `json:"waited_ms"`
+	Goal       int64     `json:"goal_ms"`
+	ReportAge  int64     `json:"report_ms"`
+	Decoding   int       `json:"writing"`
+	Prefilling int       `json:"reading"`
+	Attempts   int       `json:"attempts"`
+	Cause      string    `json:"cause"`
+	Version    int64     `json:"version"`
+	Site       string    `json:"site"`
 }
 
-// Fault is a line that cannot be read.
+// Fault is an unreadable log line.
 type Fault struct {
 	Name   string
 	Line   int
 	Reason string
 }
 
-// String names the line.
+// String returns the position and the reason.
 func (f Fault) String() string { return fmt.Sprintf("%s:%d: %s", f.Name, f.Line, f.Reason) }
 
 var (
 	errNoObject = errors.New("no JSON object")
 	errNoTime   = errors.New("no time")
-	opening     = []byte("{")
+	openBrace   = []byte("{")
 )
 
-// parse reads one line; what stands before its first brace is passed over.
+// parse parses one line and skips any text before its first brace.
 func parse(text []byte) (line, error) {
-	start := bytes.Index(text, opening)
+	start := bytes.Index(text, openBrace)
 	if start < 0 {
 		return line{}, errNoObject
 	}
@@ -71,11 +70,11 @@
 	return l, nil
 }
 
-// Read takes a log line by line; name stands for it in faults. Lines that cannot be read are counted and the first ones named;
-// one longer than a megabyte ends the reading with an error.
+// Read adds the lines of a log; name identifies the log in faults. Unreadable lines are counted; a line longer than 1 MiB is
+// an error.
 func (r *Report) Read(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
-	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	n := 0
 	for scanner.Scan() {
 		n++
@@ -85,10 +84,10 @@
 		}
 		l, err := parse(text)
 		if err != nil {
-			r.fault(Fault{Name: name, Line: n, Reason: err.Error()})
+			r.addFault(Fault{Name: name, Line: n, Reason: err.Error()})
 			continue
 		}
-		r.take(l)
+		r.addLine(l)
 	}
 	if err := scanner.Err(); err != nil {
 		return fmt.Errorf("%s, after line %d: %w", name, n, err)
@@ -96,10 +95,9 @@
 	return nil
 }
 
-// fault counts a line that cannot be read.
-func (r *Report) fault(f Fault) {
-	r.unread++
-	if len(r.faults) < shownFaults {
+func (r *Report) addFault(f Fault) {
+	r.unreadable++
+	if len(r.faults) < maxFaults {
 		r.faults = append(r.faults, f)
 	}
 }
--- a/report/report.go
+++ b/report/report.go
@@ -11,61 +11,61 @@
 )
 
 const (
-	// maxSlots bounds the slots of time that are kept: beyond it two become one.
+	// maxSlots bounds the time slots; beyond it pairs of slots are merged.
 	maxSlots = 1200
-	// maxNames bounds the routes, teams, reasons and daemons that are told apart; the rest count as other.
-	maxNames = 200
-	other    = "(other)"
-	// loadStep is how many requests at a server count as one load in the prediction's error.
-	loadStep = 4
-	maxLoad  = 64
+	// maxNames bounds the distinct routes, teams, reasons and daemons; the rest count under otherName.
+	maxNames  = 200
+	otherName = "(other)"
+	// loadBucket is the width, in requests at a server, of the buckets of prediction errors.
+	loadBucket = 4
+	maxLoad    = 64
 )
 
-// Report collects what logs tell; the zero Report is ready to use.
+// Report collects statistics from logs; the zero Report is ready to use.
 type Report struct {
 	width  time.Duration
 	slots  map[int64]map[string]*Counts
 	total  Counts
-	routes map[string]*route
+	routes map[string]*routeStats
 	teams  map[string]*Counts
-	// entries are the counts of each entry, reasons those of requests that were not answered.
-	entries  map[string]*Counts
-	reasons  map[string]int
-	loads    [maxLoad/loadStep + 1]load
-	versions map[int64]*version
-	daemons  map[string]*daemon
-	sites    map[string]string
-	lines    int
-	unread   int
-	faults   []Fault
+	// entries are the counts by entry, reasons the numbers of unanswered requests by reason.
+	entries    map[string]*Counts
+	reasons    map[string]int
+	loads      [maxLoad/loadBucket + 1]loadStats
+	versions   map[int64]*versionTimes
+	daemons    map[string]*daemonStats
+	sites      map[string]string
+	lines      int
+	unreadable int
+	faults     []Fault
 }
 
-// route is what became of the requests of one route, and how long their first events took.
-type route struct {
+// routeStats are a route's request counts and times to the first event.
+type routeStats struct {
 	Counts
-	first *hdrhistogram.Histogram
+	firstEvent *hdrhistogram.Histogram
 }
 
-// load is how far predictions were off at servers with so many requests.
-type load struct {
+// loadStats are the prediction errors at servers with a similar number of requests.
+type loadStats struct {
 	n         int
-	off       *hdrhistogram.Histogram
+	deviation *hdrhistogram.Histogram
 	early     int
 	reportAge *hdrhistogram.Histogram
 }
 
-// version is the way of one version: when boxes aimed at it, held it and ran it.
-type version struct {
-	aimed, held, runs band
+// versionTimes are the periods in which boxes targeted, held and ran a version.
+type versionTimes struct {
+	targeted, held, running timeSpan
 }
 
-// band is from when to when something happened, and how often.
-type band struct {
+// timeSpan is the period and the number of a kind of event.
+type timeSpan struct {
 	first, last time.Time
 	n           int
 }
 
-func (b *band) add(at time.Time) {
+func (b *timeSpan) add(at time.Time) {
 	if b.n == 0 || at.Before(b.first) {
 		b.first = at
 	}
@@ -75,80 +75,77 @@
 	b.n++
 }
 
-// daemon counts what one daemon went through.
-type daemon struct {
-	starts, stops, storeLost, leftAlone int
+type daemonStats struct {
+	starts, stops, storeLost, ejections int
 	first, last                         time.Time
 }
 
-// numbers are what differs between reasons that are alike.
-var numbers = regexp.MustCompile(`\bi-[0-9a-f]+|[0-9]+(\.[0-9]+)*(ms|s)?`)
+// variableParts matches server IDs and numbers, which differ between otherwise equal reasons.
+var variableParts = regexp.MustCompile(`\bi-[0-9a-f]+|[0-9]+(\.[0-9]+)*(ms|s)?`)
 
-// take counts a line.
-func (r *Report) take(l line) {
+func (r *Report) addLine(l line) {
 	r.lines++
-	r.noteDaemon(l)
+	r.addDaemonLine(l)
 	switch l.Msg {
 	case "request":
 		if l.Route != "" {
-			r.takeRequest(l)
+			r.addRequest(l)
 		}
 	case "fill: a version is aimed at":
-		r.version(l.Version).aimed.add(l.At)
+		r.version(l.Version).targeted.add(l.At)
 	case "fill: all pieces are held":
 		r.version(l.Version).held.add(l.At)
 	case "fill: the server runs a version":
-		r.version(l.Version).runs.add(l.At)
+		r.version(l.Version).running.add(l.At)
 	}
 }
 
-// takeRequest counts a request.
-func (r *Report) takeRequest(l line) {
+func (r *Report) addRequest(l line) {
 	r.total.add(l)
 	r.slot(l.At, l.Route).add(l)
-	at := named(&r.routes, l.Route, func() *route { return &route{first: newTimes()} })
-	at.add(l)
-	named(&r.teams, l.Team, newCounts).add(l)
-	named(&r.entries, l.Node, newCounts).add(l)
+	stats := getOrCreate(&r.routes, l.Route, func() *routeStats { return &routeStats{firstEvent: newHistogram()} })
+	stats.add(l)
+	getOrCreate(&r.teams, l.Team, newCounts).add(l)
+	getOrCreate(&r.entries, l.Node, newCounts).add(l)
 	if l.Outcome == outcomeAnswered {
-		record(at.first, l.First)
+		recordTime(stats.firstEvent, l.FirstEvent)
 		if l.Attempts == 1 && l.Predicted > 0 {
-			r.takePrediction(l)
+			r.addPrediction(l)
 		}
 		return
 	}
 	reason := l.Outcome
 	if l.Cause != "" {
-		reason += ": " + numbers.ReplaceAllString(l.Cause, "#")
+		reason += ": " + variableParts.ReplaceAllString(l.Cause, "#")
 	}
 	if r.reasons == nil {
 		r.reasons = make(map[string]int)
 	}
 	if _, known := r.reasons[reason]; !known && len(r.reasons) >= maxNames {
-		reason = other
+		reason = otherName
 	}
 	r.reasons[reason]++
 }
 
-// takePrediction notes by how much a prediction was off, by the load that was believed at the server.
-func (r *Report) takePrediction(l line) {
-	at := &r.loads[min(l.Writing+l.Reading, maxLoad)/loadStep]
-	if at.n == 0 {
-		at.off, at.reportAge = newTimes(), newTimes()
+// addPrediction records the error of a prediction under the load that the entry assumed at the server.
+func (r *Report) addPrediction(l line) {
+	stats := &r.loads[min(l.Decoding+l.Prefilling, maxLoad)/loadBucket]
+	if stats.n == 0 {
+		stats.deviation, stats.reportAge = newHistogram(), newHistogram()
 	}
-	at.n++
-	off := l.First - l.Predicted
-	if off < 0 {
-		at.early++
-		off = -off
+	stats.n++
+	deviation := l.FirstEvent - l.Predicted
+	if deviation < 0 {
+		stats.early++
+		deviation = -deviation
 	}
-	record(at.off, off)
-	record(at.reportAge, l.ReportAge)
+	recordTime(stats.deviation, deviation)
+	recordTime(stats.reportAge, l.ReportAge)
 }
 
-// noteDaemon counts starts and losses.
-func (r *Report) noteDaemon(l line) {
-	d := named(&r.daemons, l.Node, func() *daemon { return &daemon{first: l.At} })
+// addDaemonLine counts starts, stops, losses of the store and ejections.
+func (r *Report) addDaemonLine(l line) {
+	d := getOrCreate(&r.daemons, l.Node, func() *daemonStats { return &daemonStats{first: l.At} })
 	d.last = l.At
 	switch l.Msg {
 	case "daemon: started":
@@ -164,18 +161,18 @@
 	case "view: the store is lost":
 		d.storeLost++
 	case "forward: server ejected":
-		d.leftAlone++
+		d.ejections++
 	}
 }
 
-// version returns what is known of a version.
-func (r *Report) version(n int64) *version {
+// version returns the times of a version; beyond maxNames versions they are not kept.
+func (r *Report) version(n int64) *versionTimes {
 	if r.versions == nil {
-		r.versions = make(map[int64]*version)
+		r.versions = make(map[int64]*versionTimes)
 	}
 	v := r.versions[n]
 	if v == nil {
-		v = &version{}
+		v = &versionTimes{}
 		if len(r.versions) < maxNames {
 			r.versions[n] = v
 		}
@@ -183,7 +180,7 @@
 	return v
 }
 
-// slot returns the counts of a route at a time; when there are too many slots, two become one.
+// slot returns the counts of a route at a time; it widens the slots when there are too many.
 func (r *Report) slot(at time.Time, name string) *Counts {
 	if r.slots == nil {
 		r.slots, r.width = make(map[int64]map[string]*Counts), time.Second
@@ -197,10 +194,10 @@
 		routes = make(map[string]*Counts)
 		r.slots[n] = routes
 	}
-	return named(&routes, name, newCounts)
+	return getOrCreate(&routes, name, newCounts)
 }
 
-// widen makes slots twice as long.
+// widen doubles the width of the slots.
 func (r *Report) widen() {
 	old := r.slots
 	r.slots, r.width = make(map[int64]map[string]*Counts, len(old)), 2*r.width
@@ -211,15 +208,15 @@
 			r.slots[n/2] = into
 		}
 		for name, counts := range routes {
-			named(&into, name, newCounts).plus(*counts)
+			getOrCreate(&into, name, newCounts).merge(*counts)
 		}
 	}
 }
 
 func newCounts() *Counts { return &Counts{} }
 
-// named returns the entry of a name, or that of all others when there are too many.
-func named[T any](of *map[string]*T, name string, create func() *T) *T {
+// getOrCreate returns the value of a name, creating it if absent; beyond maxNames names it uses otherName.
+func getOrCreate[T any](of *map[string]*T, name string, create func() *T) *T {
 	if *of == nil {
 		*of = map[string]*T{}
 	}
@@ -227,7 +224,7 @@
 		return t
 	}
 	if len(*of) >= maxNames {
-		name = other
+		name = otherName
 		if t := (*of)[name]; t != nil {
 			return t
 		}
@@ -237,29 +234,28 @@
 	return t
 }
 
-// bySite returns the counts of the entries of each site.
+// bySite returns the counts by the site of the entry.
 func (r *Report) bySite() map[string]*Counts {
 	sites := make(map[string]*Counts)
 	for node, counts := range r.entries {
-		named(&sites, r.sites[node], newCounts).plus(*counts)
+		getOrCreate(&sites, r.sites[node], newCounts).merge(*counts)
 	}
 	return sites
 }
 
-// times returns the slots in order.
-func (r *Report) times() []int64 { return slices.Sorted(maps.Keys(r.slots)) }
+func (r *Report) sortedSlots() []int64 { return slices.Sorted(maps.Keys(r.slots)) }
 
-// at returns all requests of a slot.
-func (r *Report) at(slot int64) Counts {
+// slotCounts returns the counts of all routes in a slot.
+func (r *Report) slotCounts(slot int64) Counts {
 	var sum Counts
 	for _, counts := range r.slots[slot] {
-		sum.plus(*counts)
+		sum.merge(*counts)
 	}
 	return sum
 }
 
-// largest returns names by how often they came, the most first.
-func largest(of map[string]int) []string {
+// byCount returns the names by descending count.
+func byCount(of map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(of), func(a, b string) int {
 		return cmp.Or(cmp.Compare(of[b], of[a]), cmp.Compare(a, b))
 	})
--- a/report/report_test.go
+++ b/report/report_test.go
@@ -7,15 +7,14 @@
 	"time"
 )
 
-var began = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 8, 0, 0, 0, time.UTC)
 
-// logLine is a line of a log, some seconds after the begin.
+// logLine returns a log line stamped the given seconds after testStart.
 func logLine(after float64, fields string) string {
-	at := began.Add(time.Duration(after * float64(time.Second)))
+	at := testStart.Add(time.Duration(after * float64(time.Second)))
 	return fmt.Sprintf(`{"at":%q,"node":"entry-1",%s}`+"\n", at.Format(time.RFC3339Nano), fields)
 }
 
-// request is a request's line.
 func request(after float64, route, outcome string, status int, first, waited int) string {
 	return logLine(after, fmt.Sprintf(
 		`"msg":"request","route":%q,"team":"t","outcome":%q,"status":%d,"first_ms":%d,"predicted_ms":120,"waited_ms":%d,"goal_ms":400,`+
@@ -27,14 +26,14 @@
 		line string
 		want Counts
 	}{
-		"in time":                        {request(0, "r", "answered", 200, 150, 0), Counts{Asked: 1, InTime: 1}},
-		"late":                           {request(0, "r", "answered", 200, 450, 0), Counts{Asked: 1, Late: 1}},
-		"a return is late by its wait":   {request(0, "r", "answered", 200, 150, 900), Counts{Asked: 1, Late: 1, Returns: 1, Served: 1}},
-		"refused":                        {request(0, "r", "not-run", 503, 0, 0), Counts{Asked: 1, Refused: 1}},
-		"refused again":                  {request(0, "r", "not-run", 503, 0, 800), Counts{Asked: 1, Refused: 1, Returns: 1}},
-		"failed":                         {request(0, "r", "unknown", 502, 0, 0), Counts{Asked: 1, Failed: 1}},
-		"its caller has gone":            {request(0, "r", "caller-gone", 0, 0, 0), Counts{Asked: 1, Gone: 1}},
-		"denied before a route is known": {logLine(0, `"msg":"request","outcome":"no-route","status":404`), Counts{}},
+		"in time":                         {request(0, "r", "answered", 200, 150, 0), Counts{Requests: 1, InTime: 1}},
+		"late":                            {request(0, "r", "answered", 200, 450, 0), Counts{Requests: 1, Late: 1}},
+		"a retry is late by its wait":     {request(0, "r", "answered", 200, 150, 900), Counts{Requests: 1, Late: 1, Retries: 1, RetriesAnswered: 1}},
+		"refused":                         {request(0, "r", "not-run", 503, 0, 0), Counts{Requests: 1, Refused: 1}},
+		"refused again":                   {request(0, "r", "not-run", 503, 0, 800), Counts{Requests: 1, Refused: 1, Retries: 1}},
+		"failed":                          {request(0, "r", "unknown", 502, 0, 0), Counts{Requests: 1, Failed: 1}},
+		"the caller has gone":             {request(0, "r", "caller-gone", 0, 0, 0), Counts{Requests: 1, CallerGone: 1}},
+		"refused before a route is known": {logLine(0, `"msg":"request","outcome":"no-route","status":404`), Counts{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var r Report
@@ -45,15 +44,15 @@
 	}
 }
 
-func TestLinesThatCannotBeRead(t *testing.T) {
+func TestUnreadableLines(t *testing.T) {
 	text := "no JSON at all\n" + request(0, "r", "answered", 200, 100, 0) + `{"at":"2026-01-01T08:0` + "\n" + `{"msg":"request"}` + "\n\n" +
 		"12.5 entry-1 " + request(1, "r", "answered", 200, 100, 0)
 	var r Report
 	if err := r.Read("log", strings.NewReader(text)); err != nil {
 		t.Fatal(err)
 	}
-	if r.total.Asked != 2 || r.unread != 3 || len(r.faults) != 3 {
-		t.Fatalf("%d requests, %d lines not read, %v", r.total.Asked, r.unread, r.faults)
+	if r.total.Requests != 2 || r.unreadable != 3 || len(r.faults) != 3 {
+		t.Fatalf("%d requests, %d lines not read, %v", r.total.Requests, r.unreadable, r.faults)
 	}
 	for i, want := range []string{"log:1: no JSON object", "log:3: unexpected end of JSON input", "log:4: no time"} {
 		if got := r.faults[i].String(); got != want {
@@ -62,15 +61,15 @@
 	}
 }
 
-func TestLineWithoutEnd(t *testing.T) {
+func TestLineTooLong(t *testing.T) {
 	var r Report
-	err := r.Read("log", strings.NewReader("{\n"+strings.Repeat("x", maxLine+1)))
+	err := r.Read("log", strings.NewReader("{\n"+strings.Repeat("x", maxLineBytes+1)))
 	if err == nil || !strings.Contains(err.Error(), "log, after line 1") {
-		t.Errorf("error %v, want one that names the place", err)
+		t.Errorf("error %v, want one with the position", err)
 	}
 }
 
-// TestMemoryIsBounded proves that the report keeps no more for a long log of many routes than for a short one.
+// TestMemoryIsBounded checks that slots and routes stay bounded for a long log of many routes.
 func TestMemoryIsBounded(t *testing.T) {
 	var r Report
 	for i := range 4 * maxSlots {
@@ -83,15 +82,14 @@
 		t.Errorf("%d slots and %d routes are kept", len(r.slots), len(r.routes))
 	}
 	var sum Counts
-	for _, slot := range r.times() {
-		sum.plus(r.at(slot))
+	for _, slot := range r.sortedSlots() {
+		sum.merge(r.slotCounts(slot))
 	}
-	if sum != r.total || sum.Asked != 4*maxSlots {
+	if sum != r.total || sum.Requests != 4*maxSlots {
 		t.Errorf("slots hold %+v, all are %+v", sum, r.total)
 	}
 }
 
-// testLog is what a short run may write.
 func testLog() string {
 	return logLine(0, `"msg":"daemon: started","site":"east"`) +
 		request(1, "drafts", "answered", 200, 150, 0) + request(2, "drafts", "not-run", 503, 0, 0) +
@@ -121,7 +119,7 @@
 	}
 }
 
-func TestHTMLNeedsNoOtherFile(t *testing.T) {
+func TestHTMLIsSelfContained(t *testing.T) {
 	var r Report
 	if err := r.Read("log", strings.NewReader(testLog())); err != nil {
 		t.Fatal(err)
@@ -132,11 +130,11 @@
 	}
 	got := page.String()
 	if n := strings.Count(got, "<svg"); n != 4 {
-		t.Errorf("%d plots, want those of all, of two routes and of versions", n)
+		t.Errorf("%d plots, want those of all requests, two routes and the versions", n)
 	}
 	for _, not := range []string{"src=", "<link", "<script", "@import"} {
 		if strings.Contains(got, not) {
-			t.Errorf("the page holds %q", not)
+			t.Errorf("the page contains %q", not)
 		}
 	}
 }
--- a/report/text.go
+++ b/report/text.go
@@ -11,16 +11,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles that tables show, in percent.
+// The reported quantiles, in percent.
 const (
-	median = 50
-	upper  = 95
-	top    = 99
-	// shownReasons is how many reasons are listed.
-	shownReasons = 20
+	p50 = 50
+	p95 = 95
+	p99 = 99
+	// maxReasons bounds the listed reasons.
+	maxReasons = 20
 )
 
-// Text writes the report as tables of plain text.
+// Text writes the report as plain-text tables.
 func (r *Report) Text(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	r.writeSummary(w)
@@ -36,66 +36,65 @@
 	return w.Flush()
 }
 
-// countsHead names the columns that writeRow fills.
-const countsHead = "\tasked\tin time %\tlate %\trefused %\tfailed %\tgone %\treturns\tserved of them %\t"
+// countsHeader has the columns of writeRow.
+const countsHeader = "\tasked\tin time %\tlate %\trefused %\tfailed %\tgone %\treturns\tserved of them %\t"
 
 func writeRow(w io.Writer, name string, c *Counts) {
 	served := 0.0
-	if c.Returns > 0 {
-		served = 100 * float64(c.Served) / float64(c.Returns)
+	if c.Retries > 0 {
+		served = 100 * float64(c.RetriesAnswered) / float64(c.Retries)
 	}
 	_, _ = fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%d\t%.1f\t\n",
-		name, c.Asked, c.share(c.InTime), c.share(c.Late), c.share(c.Refused), c.share(c.Failed), c.share(c.Gone), c.Returns, served)
+		name, c.Requests, c.percent(c.InTime), c.percent(c.Late), c.percent(c.Refused), c.percent(c.Failed), c.percent(c.CallerGone), c.Retries, served)
 }
 
-// head begins a table.
-func head(w io.Writer, title, columns string) { _, _ = fmt.Fprintf(w, "\n%s%s\n", title, columns) }
+// header starts a table.
+func header(w io.Writer, title, columns string) { _, _ = fmt.Fprintf(w, "\n%s%s\n", title, columns) }
 
 func (r *Report) writeSummary(w io.Writer) {
-	_, _ = fmt.Fprintf(w, "%d lines, %d of them not read\n", r.lines+r.unread, r.unread)
+	_, _ = fmt.Fprintf(w, "%d lines, %d of them not read\n", r.lines+r.unreadable, r.unreadable)
 	for _, f := range r.faults {
 		_, _ = fmt.Fprintf(w, "not read: %s\n", f)
 	}
-	head(w, "tries", countsHead)
+	header(w, "tries", countsHeader)
 	writeRow(w, "all", &r.total)
 }
 
 func (r *Report) writeCounts(w io.Writer, title string, of map[string]*Counts) {
-	head(w, title, countsHead)
+	header(w, title, countsHeader)
 	for _, name := range slices.Sorted(maps.Keys(of)) {
 		writeRow(w, name, of[name])
 	}
 }
 
 func (r *Report) writeRoutes(w io.Writer) {
-	head(w, "by route", countsHead+"first ms, median\t95 in 100\t99 in 100\t")
+	header(w, "by route", countsHeader+"first ms, median\t95 in 100\t99 in 100\t")
 	for _, name := range slices.Sorted(maps.Keys(r.routes)) {
-		at := r.routes[name]
-		writeRow(w, name, &at.Counts)
-		_, _ = fmt.Fprintf(w, "\t\t\t\t\t\t\t\t\t%s\t\n", quantiles(at.first))
+		stats := r.routes[name]
+		writeRow(w, name, &stats.Counts)
+		_, _ = fmt.Fprintf(w, "\t\t\t\t\t\t\t\t\t%s\t\n", quantiles(stats.firstEvent))
 	}
 }
 
-// quantiles returns the shown quantiles of a histogram, as columns.
+// quantiles formats the quantiles of a histogram as columns.
 func quantiles(h *hdrhistogram.Histogram) string {
-	return fmt.Sprintf("%d\t%d\t%d", h.ValueAtQuantile(median), h.ValueAtQuantile(upper), h.ValueAtQuantile(top))
+	return fmt.Sprintf("%d\t%d\t%d", h.ValueAtQuantile(p50), h.ValueAtQuantile(p95), h.ValueAtQuantile(p99))
 }
 
 func (r *Report) writeTimes(w io.Writer) {
-	head(w, fmt.Sprintf("by time (%s)", r.width), countsHead)
-	for _, slot := range r.times() {
-		c := r.at(slot)
-		writeRow(w, r.begins(slot).Format(time.TimeOnly), &c)
+	header(w, fmt.Sprintf("by time (%s)", r.width), countsHeader)
+	for _, slot := range r.sortedSlots() {
+		c := r.slotCounts(slot)
+		writeRow(w, r.slotStart(slot).Format(time.TimeOnly), &c)
 	}
 }
 
-// begins returns when a slot begins.
-func (r *Report) begins(slot int64) time.Time { return time.Unix(0, slot*int64(r.width)).UTC() }
+func (r *Report) slotStart(slot int64) time.Time { return time.Unix(0, slot*int64(r.width)).UTC() }
 
 func (r *Report) writeReasons(w io.Writer) {
-	head(w, "not answered, by reason", "\ttries\t")
-	for i, reason := range largest(r.reasons) {
-		if i == shownReasons {
+	header(w, "not answered, by reason", "\ttries\t")
+	for i, reason := range byCount(r.reasons) {
+		if i == maxReasons {
 			break
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%d\t\n", reason, r.reasons[reason])
@@ -103,25 +102,25 @@
 }
 
 func (r *Report) writeLoads(w io.Writer) {
-	head(w, "predictions, by load", "\tanswers\tearly %\toff ms, median\t95 in 100\t99 in 100\treports ms old, median\t95 in 100\t99 in 100\t")
-	for i, at := range r.loads {
-		if at.n > 0 {
-			_, _ = fmt.Fprintf(w, "%d to %d\t%d\t%.0f\t%s\t%s\t\n", i*loadStep, i*loadStep+loadStep-1, at.n,
-				100*float64(at.early)/float64(at.n), quantiles(at.off), quantiles(at.reportAge))
+	header(w, "predictions, by load", "\tanswers\tearly %\toff ms, median\t95 in 100\t99 in 100\treports ms old, median\t95 in 100\t99 in 100\t")
+	for i, stats := range r.loads {
+		if stats.n > 0 {
+			_, _ = fmt.Fprintf(w, "%d to %d\t%d\t%.0f\t%s\t%s\t\n", i*loadBucket, i*loadBucket+loadBucket-1, stats.n,
+				100*float64(stats.early)/float64(stats.n), quantiles(stats.deviation), quantiles(stats.reportAge))
 		}
 	}
 }
 
 func (r *Report) writeVersions(w io.Writer) {
-	head(w, "versions", "\taimed at\tfirst\tlast\theld\tfirst\tlast\trun\tfirst\tlast\t")
+	header(w, "versions", "\taimed at\tfirst\tlast\theld\tfirst\tlast\trun\tfirst\tlast\t")
 	for _, n := range slices.Sorted(maps.Keys(r.versions)) {
 		v := r.versions[n]
-		_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t\n", n, v.aimed, v.held, v.runs)
+		_, _ = fmt.Fprintf(w, "%d\t%s\t%s\t%s\t\n", n, v.targeted, v.held, v.running)
 	}
 }
 
-// String gives a band as columns.
-func (b band) String() string {
+// String formats the number, the first and the last time as columns.
+func (b timeSpan) String() string {
 	if b.n == 0 {
 		return "0\t-\t-"
 	}
@@ -129,10 +128,10 @@
 }
 
 func (r *Report) writeDaemons(w io.Writer) {
-	head(w, "daemons", "\tstarts\tstops\tstore lost\tservers left alone\tfirst line\tlast line\t")
+	header(w, "daemons", "\tstarts\tstops\tstore lost\tservers left alone\tfirst line\tlast line\t")
 	for _, name := range slices.Sorted(maps.Keys(r.daemons)) {
 		d := r.daemons[name]
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", name, d.starts, d.stops, d.storeLost, d.leftAlone,
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", name, d.starts, d.stops, d.storeLost, d.ejections,
 			d.first.Format(time.TimeOnly), d.last.Format(time.TimeOnly))
 	}
 }
