--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,3 +1,3 @@
-// Package explain tells the story of one request from the logs of the daemons:
-// its own lines, and what was believed of its servers and configuration then.
+// Package explain reconstructs the course of one request from the daemons' logs: its own lines, and what the daemons then
+// knew of its servers and configuration.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -12,28 +12,26 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
-const maxLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// line is one line of a log.
 type line struct {
 	at     time.Time
 	fields map[string]any
 }
 
-// text returns a field that is a text; empty when there is none.
+// text returns a string field, or an empty string if there is none.
 func (l line) text(name string) string {
 	value, _ := l.fields[name].(string)
 	return value
 }
 
-// Log collects lines of several logs.
+// Log collects the lines of several logs.
 type Log struct{ lines []line }
 
-// Read takes the JSON lines of a log; what stands before the first brace of a line, and lines that are none, are passed over.
+// Read adds the JSON lines of a log; it skips text before the first brace of a line, and lines without JSON or a time.
 func (l *Log) Read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		_, text, found := bytes.Cut(scanner.Bytes(), []byte("{"))
 		if !found {
@@ -53,84 +51,86 @@
 	return scanner.Err()
 }
 
-// NotFoundError says that no line names a request.
+// NotFoundError reports that no line has the request's ID.
 type NotFoundError struct{ ID string }
 
-// Error names the request.
+// Error returns the request's ID.
 func (e *NotFoundError) Error() string { return "no line names request " + e.ID }
 
-// Story writes what the logs tell of a request, in the order of time; beliefs stand with their age when the request ended.
+// Story writes a request's lines by time, and the lines with what its entry and boxes then knew, with their age at the end of
+// the request.
 func (l *Log) Story(w io.Writer, id string) error {
 	slices.SortStableFunc(l.lines, func(a, b line) int { return a.at.Compare(b.at) })
 	var own []line
-	for _, candidate := range l.lines {
-		if candidate.text("id") == id {
-			own = append(own, candidate)
+	for _, ln := range l.lines {
+		if ln.text("id") == id {
+			own = append(own, ln)
 		}
 	}
 	if len(own) == 0 {
 		return &NotFoundError{ID: id}
 	}
 	end := own[len(own)-1]
-	story := append(l.beliefs(own, end), own...)
+	story := append(l.knownState(own, end), own...)
 	slices.SortStableFunc(story, func(a, b line) int { return a.at.Compare(b.at) })
-	for _, of := range story {
+	for _, ln := range story {
 		age := ""
-		if of.text("id") != id {
-			age = fmt.Sprintf(" [believed for %s]", end.at.Sub(of.at).Round(time.Millisecond))
+		if ln.text("id") != id {
+			age = fmt.Sprintf(" [believed for %s]", end.at.Sub(ln.at).Round(time.Millisecond))
 		}
-		if _, err := fmt.Fprintf(w, "%s %s%s%s\n", of.at.Format("15:04:05.000"), of.text("msg"), age, details(of)); err != nil {
+		if _, err := fmt.Fprintf(w, "%s %s%s%s\n", ln.at.Format("15:04:05.000"), ln.text("msg"), age, details(ln)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// beliefs returns the latest lines before the end that say what the entry, and the boxes of the request's servers, believed.
-func (l *Log) beliefs(own []line, end line) []line {
-	servers := serversOf(own)
-	addresses := l.addressesOf(servers)
+// knownState returns the latest lines before the end with the state known to the entry and to the boxes of the request's
+// servers.
+func (l *Log) knownState(own []line, end line) []line {
+	servers := requestServers(own)
+	addresses := l.addresses(servers)
 	latest := make(map[string]line)
-	for _, candidate := range l.lines {
-		if candidate.at.After(end.at) || candidate.text("id") != "" {
+	for _, ln := range l.lines {
+		if ln.at.After(end.at) || ln.text("id") != "" {
 			continue
 		}
-		sameNode := candidate.text("node") == end.text("node")
-		key := candidate.text("msg") + " "
+		sameNode := ln.text("node") == end.text("node")
+		key := ln.text("msg") + " "
 		switch {
-		case sameNode && servers[candidate.text("server")]:
-			key += candidate.text("server")
-		case addresses[candidate.text("upstream")] && strings.HasPrefix(candidate.text("msg"), "fill:"):
-			key += candidate.text("upstream")
-		case sameNode && candidate.text("server") == "" && strings.HasPrefix(candidate.text("msg"), "view:"):
-			key += candidate.text("feed")
+		case sameNode && servers[ln.text("server")]:
+			key += ln.text("server")
+		case addresses[ln.text("upstream")] && strings.HasPrefix(ln.text("msg"), "fill:"):
+			key += ln.text("upstream")
+		case sameNode && ln.text("server") == "" && strings.HasPrefix(ln.text("msg"), "view:"):
+			key += ln.text("feed")
 		default:
 			continue
 		}
-		latest[key] = candidate
+		latest[key] = ln
 	}
 	return slices.Collect(maps.Values(latest))
 }
 
-// addressesOf returns the addresses that the logs tell of servers.
-func (l *Log) addressesOf(servers map[string]bool) map[string]bool {
+// addresses returns the logged addresses of servers.
+func (l *Log) addresses(servers map[string]bool) map[string]bool {
 	addresses := make(map[string]bool)
-	for _, of := range l.lines {
-		if servers[of.text("server")] && of.text("address") != "" {
-			addresses[of.text("address")] = true
+	for _, ln := range l.lines {
+		if servers[ln.text("server")] && ln.text("address") != "" {
+			addresses[ln.text("address")] = true
 		}
 	}
 	return addresses
 }
 
-// serversOf returns the servers that a request's lines name.
-func serversOf(own []line) map[string]bool {
+// requestServers returns the servers in a request's lines.
+func requestServers(own []line) map[string]bool {
 	servers := make(map[string]bool)
-	for _, of := range own {
-		if server := of.text("server"); server != "" {
+	for _, ln := range own {
+		if server := ln.text("server"); server != "" {
 			servers[server] = true
 		}
-		tries, _ := of.fields["tries"].([]any)
+		tries, _ := ln.fields["tries"].([]any)
 		for _, try := range tries {
 			text, _ := try.(string)
 			server, _, _ := strings.Cut(text, " ")
@@ -140,15 +140,15 @@
 	return servers
 }
 
-// details writes the other fields of a line by name.
-func details(of line) string {
+// details formats the other fields of a line, sorted by name.
+func details(ln line) string {
 	var b strings.Builder
-	for _, name := range slices.Sorted(maps.Keys(of.fields)) {
+	for _, name := range slices.Sorted(maps.Keys(ln.fields)) {
 		switch name {
 		case "at", "level", "msg":
 			continue
 		}
-		fmt.Fprintf(&b, "\n    %s: %v", name, of.fields[name])
+		fmt.Fprintf(&b, "\n    %s: %v", name, ln.fields[name])
 	}
 	return b.String()
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const logs = `  1.0 front-1 {"at":"2026-01-01T00:00:01.000Z","msg":"view: configuration taken","node":"e1","revision":4}
+const testLogs = `  1.0 front-1 {"at":"2026-01-01T00:00:01.000Z","msg":"view: configuration taken","node":"e1","revision":4}
 {"at":"2026-01-01T00:00:01.500Z","msg":"view: configuration taken","node":"e2","revision":4}
 {"at":"2026-01-01T00:00:02.000Z","msg":"view: server listed","node":"e1","server":"s1","address":"h:1","leaving":false}
 {"at":"2026-01-01T00:00:02.100Z","msg":"view: server listed","node":"e1","server":"s2","address":"h:2","leaving":false}
@@ -18,36 +18,36 @@
 
 func TestStory(t *testing.T) {
 	for name, test := range map[string]struct {
-		id       string
-		tells    []string
-		tellsNot []string
+		id      string
+		want    []string
+		wantNot []string
 	}{
-		"own line, beliefs of its entry and server": {
+		"own line, state of its entry and server": {
 			"r1", []string{"not-run", "revision: 4", "server listed", "order to load", "believed for 1s"}, []string{"revision: 9", "h:2", "e2"},
 		},
 		"unknown request": {"r9", nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l Log
-			if err := l.Read(strings.NewReader(logs)); err != nil {
+			if err := l.Read(strings.NewReader(testLogs)); err != nil {
 				t.Fatal(err)
 			}
 			var story strings.Builder
 			err := l.Story(&story, test.id)
-			if test.tells == nil {
+			if test.want == nil {
 				if !errors.As(err, new(*NotFoundError)) {
-					t.Errorf("error %v, want that no line names it", err)
+					t.Errorf("error %v, want a NotFoundError", err)
 				}
 				return
 			}
-			for _, want := range test.tells {
+			for _, want := range test.want {
 				if !strings.Contains(story.String(), want) {
 					t.Errorf("the story lacks %q:\n%s", want, story.String())
 				}
 			}
-			for _, not := range test.tellsNot {
+			for _, not := range test.wantNot {
 				if strings.Contains(story.String(), not) {
-					t.Errorf("the story tells %q:\n%s", not, story.String())
+					t.Errorf("the story contains %q:\n%s", not, story.String())
 				}
 			}
 		})
