--- a/swarm/choose.go
+++ b/swarm/choose.go
@@ -13,7 +13,7 @@
 	chunk int
 	// deferred candidates come last: a Node's chunks that this box will download, a Feed's pieces held in its own site.
 	deferred bool
-	// load is the queue length of the least loaded holder; a Node leaves it 0.
+	// load is the load of the least loaded holder; a Node leaves it 0.
 	load     int
 	copies   int
 	tiebreak uint64
@@ -21,13 +21,13 @@
 
 // nextRequests chooses chunks to request from peers: the rarest first, those planned for download last.
 func (n *Node) nextRequests(now time.Time) []Action {
-	room := n.params.MaxRequests - len(n.requests)
-	if room <= 0 {
+	free := n.params.MaxRequests - len(n.requests)
+	if free <= 0 {
 		return nil
 	}
 	var actions []Action
 	for _, c := range n.candidates(now) {
-		if len(actions) == room {
+		if len(actions) == free {
 			break
 		}
 		if holder := n.pickHolder(c.chunk, now); holder != nil {
@@ -137,7 +137,7 @@
 	return found
 }
 
-// compareCandidates orders by deferred, then load, then rarity.
+// compareCandidates orders deferred candidates last, then by load and by rarity.
 func compareCandidates(a, b candidate) int {
 	if a.deferred != b.deferred {
 		if a.deferred {
@@ -152,9 +152,9 @@
 // across sites, so that the chunk crosses a narrow link once.
 func (n *Node) pickHolder(chunk int, now time.Time) *peer {
 	holders := n.holders(chunk, now)
-	near := slices.DeleteFunc(slices.Clone(holders), func(p *peer) bool { return p.member.Site != n.params.Self.Site })
-	if len(near) > 0 {
-		return lessLoaded(near)
+	inSite := slices.DeleteFunc(slices.Clone(holders), func(p *peer) bool { return p.member.Site != n.params.Self.Site })
+	if len(inSite) > 0 {
+		return lessLoaded(inSite)
 	}
 	if !n.mayFetchCrossSite(chunk, now) {
 		return nil
--- a/swarm/neighbours.go
+++ b/swarm/neighbours.go
@@ -10,19 +10,19 @@
 
 // Neighbours returns up to MaxNeighbours boxes of self's site, in rendezvous order.
 func Neighbours(self Member, members []Member) []Member {
-	var near []Member
+	var neighbours []Member
 	for _, member := range members {
 		if member.Site == self.Site && member.ID != self.ID {
-			near = append(near, member)
+			neighbours = append(neighbours, member)
 		}
 	}
-	slices.SortFunc(near, func(a, b Member) int {
+	slices.SortFunc(neighbours, func(a, b Member) int {
 		return cmp.Compare(pairScore(self.ID, b.ID), pairScore(self.ID, a.ID))
 	})
-	if len(near) > MaxNeighbours {
-		near = near[:MaxNeighbours]
+	if len(neighbours) > MaxNeighbours {
+		neighbours = neighbours[:MaxNeighbours]
 	}
-	return near
+	return neighbours
 }
 
 // pairScore is symmetric, so that most neighbour relations are mutual.
