--- a/swarm/neighbours.go
+++ b/swarm/neighbours.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// MaxNeighbours bounds the boxes of the own site to which a box keeps a link.
+// MaxNeighbours bounds a box's links within its own site.
 const MaxNeighbours = 12
 
-// Neighbours returns the boxes to which self keeps links: up to MaxNeighbours of its own site, in rendezvous order.
+// Neighbours returns up to MaxNeighbours boxes of self's site, in rendezvous order.
 func Neighbours(self Member, members []Member) []Member {
-	var near []Member
+	var neighbours []Member
 	for _, member := range members {
 		if member.Site == self.Site && member.ID != self.ID {
-			near = append(near, member)
+			neighbours = append(neighbours, member)
 		}
 	}
-	slices.SortFunc(near, func(a, b Member) int {
+	slices.SortFunc(neighbours, func(a, b Member) int {
 		return cmp.Compare(pairScore(self.ID, b.ID), pairScore(self.ID, a.ID))
 	})
-	if len(near) > MaxNeighbours {
-		near = near[:MaxNeighbours]
+	if len(neighbours) > MaxNeighbours {
+		neighbours = neighbours[:MaxNeighbours]
 	}
-	return near
+	return neighbours
 }
 
-// pairScore is the same seen from both ends, so that neighbourhood is mostly mutual.
+// pairScore is symmetric, so that most neighbour relations are mutual.
 func pairScore(a, b string) uint64 {
 	return score(min(a, b), 0, max(a, b))
 }
