--- a/internal/labcmd/askcmd.go
+++ b/internal/labcmd/askcmd.go
@@ -46,8 +46,8 @@
 	}
 	caller := &lab.Caller{URL: cmd.String("entry"), Key: strings.TrimSpace(string(key))}
 	call := lab.ChatCall{
-		Service: cmd.String("service"), Prompt: cmd.String("prompt"), Tokens: cmd.Int("tokens"),
-		Stream: true, ID: uuid.NewString(), OnceKey: cmd.String("once-key"),
+		Service: cmd.String("service"), Prompt: cmd.String("prompt"), MaxTokens: cmd.Int("tokens"),
+		Stream: true, ID: uuid.NewString(), IdempotencyKey: cmd.String("once-key"),
 	}
 	var answer lab.Answer
 	if path := cmd.String("plain"); path != "" {
--- a/internal/labcmd/enginecmd.go
+++ b/internal/labcmd/enginecmd.go
@@ -28,7 +28,7 @@
 
 func (c *Config) runEngineCmd(ctx context.Context, cmd *cli.Command) error {
 	engine := &lab.Engine{
-		TokenTime: cmd.Duration("token-time"), Slots: cmd.Int("slots"), Unchecked: cmd.Bool("unchecked"),
+		TokenTime: cmd.Duration("token-time"), Slots: cmd.Int("slots"), IgnoreFence: cmd.Bool("unchecked"),
 	}
 	return c.serve(ctx, cmd.String("listen"), engine.Handler())
 }
--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -18,7 +18,7 @@
 	baselinePoll = 5 * time.Millisecond
 )
 
-// baselineBox is a box that takes all chunks in order from one source: the origin or another box.
+// baselineBox is a box that downloads all chunks in order from one source: the origin or another box.
 type baselineBox struct {
 	box     *RigBox
 	store   *weights.Store
@@ -27,7 +27,7 @@
 	done    time.Duration
 }
 
-// baseline runs the experiment with one of the policies to compare with, over the same links and origin.
+// baseline runs the experiment with a baseline policy over the same links and origin.
 func (x *rollout) baseline(ctx context.Context) (RolloutResult, error) {
 	_, manifest, err := x.rig.Publish(ctx, "v1", x.cfg.Size, x.cfg.ChunkSize, x.cfg.Seed)
 	if err != nil {
@@ -40,18 +40,18 @@
 	ctx, cancel := context.WithTimeout(ctx, x.cfg.Limit)
 	defer cancel()
 	before := x.linkBytes()
-	drawn := x.rig.Platform.Objects.Drawn()
-	x.began = time.Now()
+	downloadedBefore := x.rig.Platform.Objects.DownloadedBytes()
+	x.startedAt = time.Now()
 	var running sync.WaitGroup
 	for _, b := range boxes {
 		running.Go(func() {
 			if b.fetchAll(ctx, x.rig, manifest) {
-				b.done = time.Since(x.began)
+				b.done = time.Since(x.startedAt)
 			}
 		})
 	}
 	running.Wait()
-	x.baselineResult(boxes, before, drawn)
+	x.baselineResult(boxes, before, downloadedBefore)
 	return x.result, nil
 }
 
@@ -75,7 +75,7 @@
 	return boxes, nil
 }
 
-func (x *rollout) baselineResult(boxes []*baselineBox, before map[string]int64, drawn int64) {
+func (x *rollout) baselineResult(boxes []*baselineBox, before map[string]int64, downloadedBefore int64) {
 	x.result.AllServing = true
 	for i := range boxes {
 		served := 0
@@ -94,16 +94,16 @@
 		x.result.TimeToN = max(x.result.TimeToN, boxes[i].done.Seconds())
 	}
 	if !x.result.AllServing {
-		x.result.TimeToN = time.Since(x.began).Seconds()
+		x.result.TimeToN = time.Since(x.startedAt).Seconds()
 	}
 	x.result.TimeRatio = x.result.TimeToN / x.result.TimeBound
 	for id, bytes := range x.linkBytes() {
 		x.result.MaxBoxLinkCopies = max(x.result.MaxBoxLinkCopies, float64(bytes-before[id])/float64(x.cfg.Size))
 	}
-	x.result.OriginCopies = float64(x.rig.Platform.Objects.Drawn()-drawn) / float64(x.cfg.Size)
+	x.result.OriginCopies = float64(x.rig.Platform.Objects.DownloadedBytes()-downloadedBefore) / float64(x.cfg.Size)
 }
 
-// ServeHTTP gives a chunk once the box has it.
+// ServeHTTP serves a chunk as soon as the box holds it.
 func (b *baselineBox) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	digest, err := weights.ParseDigest(r.URL.Query().Get("digest"))
 	if err != nil {
--- a/lab/caller.go
+++ b/lab/caller.go
@@ -13,62 +13,60 @@
 	"time"
 )
 
-// Caller sends requests to an entry and checks that each answer is whole, of one version and its own.
+// Caller sends requests to an entry and checks that each answer is complete, from one version and for its own request.
 type Caller struct {
 	URL  string
 	Key  string
 	HTTP *http.Client
 }
 
-// Answer is what a caller got.
+// Answer is the response to a caller's request.
 type Answer struct {
 	Status  int
 	Box     string
 	Version string
 	Outcome string
-	// Digest is the whole weights that the engine says it answered from.
-	Digest string
-	Tokens int
-	// First is the time to the first token.
-	First time.Duration
-	Text  string
-	// Problem is the error that the entry told, if it did.
+	// Digest is the weights digest reported by the engine.
+	Digest           string
+	Tokens           int
+	TimeToFirstToken time.Duration
+	Text             string
+	// Problem is the detail of the entry's error response, if any.
 	Problem string
 }
 
-// WrongAnswerError says that an answer was not what the request and the weights give.
+// WrongAnswerError reports an answer that does not match the request and the weights.
 type WrongAnswerError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the message with the reason.
 func (e *WrongAnswerError) Error() string { return "wrong answer: " + e.Reason }
 
-// CutAnswerError says that an answer ended before it was whole.
-type CutAnswerError struct{ Reason string }
+// TruncatedAnswerError reports an answer that ended before it was complete.
+type TruncatedAnswerError struct{ Reason string }
 
-// Error gives the reason.
-func (e *CutAnswerError) Error() string { return "answer cut off: " + e.Reason }
+// Error returns the message with the reason.
+func (e *TruncatedAnswerError) Error() string { return "truncated answer: " + e.Reason }
 
-// isWrong reports whether an error says that an answer was wrong.
-func isWrong(err error) bool {
+func isWrongAnswer(err error) bool {
 	var wrong *WrongAnswerError
 	return errors.As(err, &wrong)
 }
 
 // ChatCall is one chat request.
 type ChatCall struct {
-	Service string
-	Prompt  string
-	Tokens  int
-	Stream  bool
-	ID      string
-	OnceKey string
-	Timeout time.Duration
+	Service        string
+	Prompt         string
+	MaxTokens      int
+	Stream         bool
+	ID             string
+	IdempotencyKey string
+	Timeout        time.Duration
 }
 
-// Chat sends a chat request. An answer that is wrong or cut off is an error; a refusal is an answer with its status.
+// Chat sends a chat request. A wrong or truncated answer is an error; a refusal is an answer with its status.
 func (c *Caller) Chat(ctx context.Context, call ChatCall) (Answer, error) {
 	body, err := json.Marshal(ChatRequest{
-		Model: call.Service, Stream: call.Stream, MaxTokens: call.Tokens,
+		Model: call.Service, Stream: call.Stream, MaxTokens: call.MaxTokens,
 		Messages: []ChatMessage{{Role: "user", Content: call.Prompt}},
 	})
 	if err != nil {
@@ -80,14 +78,14 @@
 		return Answer{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer := answerOf(resp)
+	answer := newAnswer(resp)
 	if resp.StatusCode != http.StatusOK {
 		return answer, nil
 	}
 	if call.Stream {
 		err = answer.readStream(resp.Body, begin)
 	} else {
-		err = answer.readWhole(resp.Body, begin)
+		err = answer.readComplete(resp.Body, begin)
 	}
 	if err != nil {
 		return answer, err
@@ -95,20 +93,20 @@
 	return answer, answer.check(call)
 }
 
-// Plain sends a request to a plain service.
+// Plain sends a POST request to a plain service and checks that the response echoes it.
 func (c *Caller) Plain(ctx context.Context, service, path string, body []byte, call ChatCall) (Answer, error) {
 	resp, err := c.send(ctx, http.MethodPost, "/services/"+service+path, body, call)
 	if err != nil {
 		return Answer{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer := answerOf(resp)
+	answer := newAnswer(resp)
 	if resp.StatusCode != http.StatusOK {
 		return answer, nil
 	}
 	var plain PlainAnswer
 	if err := json.NewDecoder(resp.Body).Decode(&plain); err != nil {
-		return answer, &CutAnswerError{Reason: err.Error()}
+		return answer, &TruncatedAnswerError{Reason: err.Error()}
 	}
 	if plain.Request != call.ID || plain.Echo != string(body) {
 		return answer, &WrongAnswerError{Reason: fmt.Sprintf("asked %s %q, got %s %q", call.ID, body, plain.Request, plain.Echo)}
@@ -126,8 +124,8 @@
 	if call.ID != "" {
 		req.Header.Set("X-Request-Id", call.ID)
 	}
-	if call.OnceKey != "" {
-		req.Header.Set("Idempotency-Key", call.OnceKey)
+	if call.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", call.IdempotencyKey)
 	}
 	if call.Timeout > 0 {
 		req.Header.Set("X-Request-Timeout", call.Timeout.String())
@@ -139,14 +137,14 @@
 	return client.Do(req)
 }
 
-// check compares an answer with what the request and the weights give.
+// check compares the text with the tokens expected for the prompt and the weights digest.
 func (a *Answer) check(call ChatCall) error {
 	var want strings.Builder
-	for i := range call.Tokens {
+	for i := range call.MaxTokens {
 		want.WriteString(Token(a.Digest, call.Prompt, i))
 	}
 	if a.Text != want.String() {
-		return &WrongAnswerError{Reason: fmt.Sprintf("the text is not that of %s to the prompt", a.Digest)}
+		return &WrongAnswerError{Reason: fmt.Sprintf("the text is not what weights %s give for the prompt", a.Digest)}
 	}
 	return nil
 }
@@ -157,7 +155,7 @@
 	for scanner.Scan() {
 		line := scanner.Text()
 		if line == "event: error" {
-			return &CutAnswerError{Reason: "the entry says so"}
+			return &TruncatedAnswerError{Reason: "the entry sent an error event"}
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
@@ -167,38 +165,38 @@
 			a.Text = text.String()
 			return nil
 		}
-		if a.First == 0 {
-			a.First = time.Since(begin)
+		if a.TimeToFirstToken == 0 {
+			a.TimeToFirstToken = time.Since(begin)
 		}
 		var chunk ChatChunk
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil || len(chunk.Choices) == 0 || chunk.Choices[0].Delta == nil {
-			return &WrongAnswerError{Reason: "an event is no chunk: " + data}
+			return &WrongAnswerError{Reason: "event is not a chunk: " + data}
 		}
 		if a.Digest != "" && a.Digest != chunk.Fingerprint {
-			return &WrongAnswerError{Reason: "two versions in one answer"}
+			return &WrongAnswerError{Reason: "tokens of two versions in one answer"}
 		}
 		a.Digest = chunk.Fingerprint
 		a.Tokens++
 		text.WriteString(chunk.Choices[0].Delta.Content)
 	}
-	return &CutAnswerError{Reason: "the stream ended without [DONE]"}
+	return &TruncatedAnswerError{Reason: "the stream ended without [DONE]"}
 }
 
-func (a *Answer) readWhole(body io.Reader, begin time.Time) error {
+func (a *Answer) readComplete(body io.Reader, begin time.Time) error {
 	var chunk ChatChunk
 	if err := json.NewDecoder(body).Decode(&chunk); err != nil {
-		return &CutAnswerError{Reason: err.Error()}
+		return &TruncatedAnswerError{Reason: err.Error()}
 	}
 	if len(chunk.Choices) == 0 || chunk.Choices[0].Message == nil {
-		return &WrongAnswerError{Reason: "the answer holds no message"}
+		return &WrongAnswerError{Reason: "the answer has no message"}
 	}
-	a.First = time.Since(begin)
+	a.TimeToFirstToken = time.Since(begin)
 	a.Digest = chunk.Fingerprint
 	a.Text = chunk.Choices[0].Message.Content
 	return nil
 }
 
-func answerOf(resp *http.Response) Answer {
+func newAnswer(resp *http.Response) Answer {
 	answer := Answer{
 		Status: resp.StatusCode, Box: resp.Header.Get("X-Coralstair-Box"),
 		Version: resp.Header.Get("X-Coralstair-Version"), Outcome: resp.Header.Get("X-Coralstair-Outcome"),
@@ -206,12 +204,12 @@
 	if resp.StatusCode == http.StatusOK {
 		return answer
 	}
-	var told struct {
+	var body struct {
 		Detail  string `json:"detail"`
 		Outcome string `json:"outcome"`
 	}
-	if json.NewDecoder(resp.Body).Decode(&told) == nil {
-		answer.Problem, answer.Outcome = told.Detail, told.Outcome
+	if json.NewDecoder(resp.Body).Decode(&body) == nil {
+		answer.Problem, answer.Outcome = body.Detail, body.Outcome
 	}
 	return answer
 }
--- a/lab/control.go
+++ b/lab/control.go
@@ -18,15 +18,15 @@
 	"github.com/coralstair/coralstair/problem"
 )
 
-// FaultReplace replaces a daemon a second in a control experiment.
+// FaultReplace restarts one box daemon per second in a control experiment.
 const FaultReplace = "replace"
 
 const (
-	controlLimit = 30 * time.Second
-	controlTeams = 50
+	controlTimeout = 30 * time.Second
+	controlTeams   = 50
 )
 
-// ControlConfig says what a control experiment does.
+// ControlConfig configures a control experiment.
 type ControlConfig struct {
 	Boxes, Sites, Entries int
 	ChangesPerMinute      float64
@@ -35,7 +35,7 @@
 	Seed                  uint64
 }
 
-// ControlResult is what a control experiment measured.
+// ControlResult holds the measurements of a control experiment.
 type ControlResult struct {
 	Boxes             int     `json:"boxes"`
 	Sites             int     `json:"sites"`
@@ -58,18 +58,17 @@
 	InvariantsBroken  int     `json:"invariants_broken"`
 }
 
-// control is a running experiment.
 type control struct {
-	cfg      ControlConfig
-	rig      *Rig
-	rng      *rand.Rand
-	accepted []string
-	refused  []string
-	newest   map[string]fleet.Revision
-	result   ControlResult
+	cfg        ControlConfig
+	rig        *Rig
+	rng        *rand.Rand
+	accepted   []string
+	refused    []string
+	newestSeen map[string]fleet.Revision
+	result     ControlResult
 }
 
-// Control runs one experiment: decisions are made again and again, and each box is watched until it has them.
+// Control runs one experiment: it repeatedly changes the configuration and waits until every box has each change.
 func Control(ctx context.Context, cfg ControlConfig) (ControlResult, error) {
 	rig, err := NewRig(RigConfig{Boxes: cfg.Boxes, Sites: cfg.Sites, Entries: cfg.Entries, Seed: cfg.Seed, Checks: new(invariant.Recorder)})
 	if err != nil {
@@ -77,7 +76,7 @@
 	}
 	defer rig.Close()
 	x := &control{
-		cfg: cfg, rig: rig, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), newest: make(map[string]fleet.Revision),
+		cfg: cfg, rig: rig, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), newestSeen: make(map[string]fleet.Revision),
 		result: ControlResult{Boxes: cfg.Boxes, Sites: cfg.Sites, Entries: cfg.Entries, Faults: strings.Join(cfg.Faults, ",")},
 	}
 	if err := x.prepare(ctx); err != nil {
@@ -89,14 +88,14 @@
 	return x.result, x.audit(ctx)
 }
 
-// prepare waits until every box has the first configuration, and notes the peak of reads meanwhile.
+// prepare waits until every box has the first configuration and records the table read rate during start-up.
 func (x *control) prepare(ctx context.Context) error {
 	reads, _ := x.rig.Platform.Table.Counts()
 	begin := time.Now()
-	if !x.rig.Wait(controlLimit, func() bool { return x.rig.Do(ctx, "create fleet "+RigFleet) == nil }) {
-		return errors.New("the rig did not come up")
+	if !x.rig.Wait(controlTimeout, func() bool { return x.rig.Do(ctx, "create fleet "+RigFleet) == nil }) {
+		return errors.New("the entries did not start")
 	}
-	if !x.rig.Wait(controlLimit, func() bool { return x.behind(1) == 0 }) {
+	if !x.rig.Wait(controlTimeout, func() bool { return x.countBehind(1) == 0 }) {
 		return errors.New("not all boxes have the first configuration")
 	}
 	after, _ := x.rig.Platform.Table.Counts()
@@ -107,15 +106,15 @@
 func (x *control) run(ctx context.Context) error {
 	stop := x.startFaults()
 	defer stop()
-	latencies := histogram()
+	latencies := newHistogram()
 	reads, writes := x.rig.Platform.Table.Counts()
-	bytes, cpu, begin := x.bytes(), processorTime(), time.Now()
+	bytes, cpu, begin := x.linkBytes(), cpuTime(), time.Now()
 	for ctx.Err() == nil && time.Since(begin) < x.cfg.Duration {
-		revision, ok := x.decide(ctx)
+		revision, ok := x.submitChange(ctx)
 		if ok {
 			accepted := time.Now()
-			if !x.rig.Wait(controlLimit, func() bool { return x.behind(revision) == 0 }) {
-				return fmt.Errorf("revision %d is not in force on %d boxes after %s", revision, x.behind(revision), controlLimit)
+			if !x.rig.Wait(controlTimeout, func() bool { return x.countBehind(revision) == 0 }) {
+				return fmt.Errorf("revision %d is not in force on %d boxes after %s", revision, x.countBehind(revision), controlTimeout)
 			}
 			_ = latencies.RecordValue(max(1, time.Since(accepted).Microseconds()))
 		}
@@ -125,44 +124,44 @@
 	seconds := time.Since(begin).Seconds()
 	readsAfter, writesAfter := x.rig.Platform.Table.Counts()
 	daemons := float64(x.cfg.Boxes + x.cfg.Entries)
-	x.result.InForceP50, x.result.InForceP99 = millis(latencies, p50), millis(latencies, p99)
+	x.result.InForceP50, x.result.InForceP99 = quantileMillis(latencies, p50), quantileMillis(latencies, p99)
 	x.result.InForceMax = float64(latencies.Max()) / microsPerMilli
 	x.result.TableReads, x.result.TableWrites = float64(readsAfter-reads)/seconds, float64(writesAfter-writes)/seconds
-	x.result.ControlBytes = float64(x.bytes()-bytes) / seconds / float64(x.cfg.Boxes)
-	x.result.ControlCPU = 100 * (processorTime() - cpu).Seconds() / seconds / daemons
+	x.result.ControlBytes = float64(x.linkBytes()-bytes) / seconds / float64(x.cfg.Boxes)
+	x.result.ControlCPU = 100 * (cpuTime() - cpu).Seconds() / seconds / daemons
 	x.result.ControlRSS = residentMB() / daemons
 	x.result.InvariantsBroken = len(x.rig.Checks.Broken())
 	return nil
 }
 
-// decide makes one decision and returns its revision; ok is false when it was not accepted.
-func (x *control) decide(ctx context.Context) (fleet.Revision, bool) {
+// submitChange submits one change and returns its revision; ok is false if it was not accepted.
+func (x *control) submitChange(ctx context.Context) (fleet.Revision, bool) {
 	text := fmt.Sprintf("set concurrency of team team-%d in %s to %d", x.rng.IntN(controlTeams), RigFleet, 1+x.rng.IntN(1000000))
 	result, err := x.rig.Client().Do(ctx, text, 0)
-	var answered problem.Problem
+	var refusal problem.Problem
 	switch {
 	case err == nil && result.Message == "accepted":
 		x.accepted = append(x.accepted, text)
 		x.result.Changes++
 		return result.Revision, true
-	case errors.As(err, &answered) && answered.Outcome == "not-run":
+	case errors.As(err, &refusal) && refusal.Outcome == "not-run":
 		x.refused = append(x.refused, text)
 	}
 	x.result.Refused++
 	return 0, false
 }
 
-// behind counts the running boxes that have not yet a revision, and notes each that went back.
-func (x *control) behind(revision fleet.Revision) int {
+// countBehind counts the running boxes that have not reached a revision, and records every box whose revision decreased.
+func (x *control) countBehind(revision fleet.Revision) int {
 	n := 0
 	for _, b := range x.rig.Boxes {
 		daemon := b.Daemon()
 		key := fmt.Sprintf("%p", daemon)
 		seen := daemon.Heartbeat().Revision
-		if seen < x.newest[key] {
+		if seen < x.newestSeen[key] {
 			x.result.Reverted++
 		}
-		x.newest[key] = max(x.newest[key], seen)
+		x.newestSeen[key] = max(x.newestSeen[key], seen)
 		if seen < revision {
 			n++
 		}
@@ -170,7 +169,7 @@
 	return n
 }
 
-// audit compares what operators were told with the history.
+// audit compares the outcomes reported to operators with the ledger's history.
 func (x *control) audit(ctx context.Context) error {
 	x.rig.Platform.Table.Faults.SetOut(false)
 	changes, err := ledger.New(x.rig.table()).History(ctx, RigFleet, len(x.accepted)+len(x.refused)+10)
@@ -194,7 +193,7 @@
 	return nil
 }
 
-// startFaults causes the faults asked for; the function it returns ends them.
+// startFaults injects the configured faults; the returned function stops them.
 func (x *control) startFaults() func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -208,7 +207,7 @@
 				return
 			case <-ticker.C:
 			}
-			x.cause(n)
+			x.injectFaults(n)
 		}
 	}()
 	return func() {
@@ -218,8 +217,8 @@
 	}
 }
 
-// cause causes what is due in second n.
-func (x *control) cause(n int) {
+// injectFaults injects the faults due in second n.
+func (x *control) injectFaults(n int) {
 	box := x.rig.Boxes[n%len(x.rig.Boxes)]
 	if slices.Contains(x.cfg.Faults, FaultReplace) {
 		box.Kill()
@@ -230,12 +229,12 @@
 	}
 	if slices.Contains(x.cfg.Faults, FaultCut) {
 		other := x.rig.Boxes[(n+len(x.rig.Boxes)/2)%len(x.rig.Boxes)]
-		other.Link.Cut(true)
-		time.AfterFunc(500*time.Millisecond, func() { other.Link.Cut(false) })
+		other.Link.SetDown(true)
+		time.AfterFunc(500*time.Millisecond, func() { other.Link.SetDown(false) })
 	}
 }
 
-func (x *control) bytes() int64 {
+func (x *control) linkBytes() int64 {
 	var total int64
 	for _, b := range x.rig.Boxes {
 		in, out := b.Link.Bytes()
@@ -244,8 +243,8 @@
 	return total
 }
 
-// processorTime returns the time that this process has used, stand-ins included.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by this process, including the fakes.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -253,7 +252,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// residentMB returns this process's resident memory in megabytes.
+// residentMB returns this process's resident memory in MiB.
 func residentMB() float64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/lab/doc.go
+++ b/lab/doc.go
@@ -1,4 +1,4 @@
-// Package lab holds small stand-ins of what the system meets outside itself:
-// the platform's table service, object store and live list, model engines and
-// plain services. Experiments and tests use them; no user's box does.
+// Package lab holds fakes of the external systems that the daemons use (table
+// service, object store, live list, model engines, plain services) and the
+// experiments that run on them. It is not part of a deployment.
 package lab
--- a/lab/drive.go
+++ b/lab/drive.go
@@ -15,14 +15,14 @@
 	"github.com/coralstair/coralstair/route"
 )
 
-// Bursts of a drive experiment.
+// Load patterns of a drive experiment.
 const (
 	BurstNone     = "none"
 	BurstRoster   = "roster"
 	BurstDeadline = "deadline"
 )
 
-// Faults of a drive experiment, besides FaultStall and FaultOutage.
+// Faults of a drive experiment, in addition to FaultStall and FaultOutage.
 const (
 	FaultKill   = "kill"
 	FaultFreeze = "freeze"
@@ -30,25 +30,24 @@
 	FaultLag    = "lag"
 )
 
-// Shape of the load.
 const (
-	driveSlots     = 8
-	driveTokenTime = 5 * time.Millisecond
-	longTokens     = 24
-	shortTokens    = 4
-	shortShare     = 0.4
-	driveTimeout   = 2 * time.Second
-	driveLedgers   = 2
-	driveWeights   = 1 << 20
-	bigTeamFactor  = 20
-	burstFactor    = 5
-	calibration    = 3 * time.Second
+	driveSlots       = 8
+	driveTokenTime   = 5 * time.Millisecond
+	longTokens       = 24
+	shortTokens      = 4
+	shortShare       = 0.4
+	driveTimeout     = 2 * time.Second
+	drivePlainBoxes  = 2
+	driveWeightsSize = 1 << 20
+	bigTeamFactor    = 20
+	burstFactor      = 5
+	calibrationTime  = 3 * time.Second
 )
 
-// DriveConfig says what a drive experiment does.
+// DriveConfig configures a drive experiment.
 type DriveConfig struct {
 	Entries, Boxes int
-	// RPS is the offered load in requests a second; when Load is set it is that multiple of the capacity instead.
+	// RPS is the offered load in requests per second; a Load above 0 replaces it by that multiple of the capacity.
 	RPS       float64
 	Load      float64
 	Duration  time.Duration
@@ -60,7 +59,7 @@
 	Seed      uint64
 }
 
-// DriveResult is what a drive experiment measured.
+// DriveResult holds the measurements of a drive experiment.
 type DriveResult struct {
 	Policy           string  `json:"policy"`
 	Faults           string  `json:"faults"`
@@ -83,18 +82,18 @@
 	P99              float64 `json:"p99_ms"`
 	RefusalP99       float64 `json:"refusal_p99_ms"`
 	SmallTeamGoodput float64 `json:"small_team_goodput_ratio"`
-	// The next three are not measured yet, and null rather than a zero that nobody counted.
+	// The next three are not measured and encode as null.
 	AddedP50             *float64 `json:"added_latency_p50_us"`
 	AddedP99             *float64 `json:"added_latency_p99_us"`
 	LeavingLateWork      *int     `json:"leaving_late_work"`
 	TableWritesPerSecond float64  `json:"table_writes_per_s"`
 	TableReadsPerSecond  float64  `json:"table_reads_per_s"`
 	InvariantsBroken     int      `json:"invariants_broken"`
-	// Broken tells each broken invariant.
+	// Broken describes each violated invariant.
 	Broken []string `json:"broken,omitempty"`
 }
 
-// outcome is what became of one request, as its caller saw it.
+// outcome is the result of one request as its caller saw it.
 type outcome struct {
 	id      string
 	team    int
@@ -105,7 +104,6 @@
 	arrived time.Duration
 }
 
-// drive is a running experiment.
 type drive struct {
 	cfg     DriveConfig
 	rig     *Rig
@@ -117,12 +115,12 @@
 	killed   bool
 }
 
-// Drive runs one experiment.
+// Drive measures requests under open-loop load and faults.
 func Drive(ctx context.Context, cfg DriveConfig) (DriveResult, error) {
 	rig, err := NewRig(RigConfig{
-		Boxes: cfg.Boxes, Sites: 3, Entries: cfg.Entries, Plain: driveLedgers, Teams: cfg.Teams,
+		Boxes: cfg.Boxes, Sites: 3, Entries: cfg.Entries, PlainBoxes: drivePlainBoxes, Teams: cfg.Teams,
 		Slots: driveSlots, TokenTime: driveTokenTime, Seed: cfg.Seed, Checks: new(invariant.Recorder),
-		Picker: pickerOf(cfg.Policy, cfg.Seed),
+		Picker: newPicker(cfg.Policy, cfg.Seed),
 	})
 	if err != nil {
 		return DriveResult{}, err
@@ -140,28 +138,28 @@
 	reads, writes := rig.Platform.Table.Counts()
 	stop := d.startFaults(ctx)
 	begin := time.Now()
-	d.offer(ctx)
+	d.sendLoad(ctx)
 	took := time.Since(begin)
 	stop()
 	readsAfter, writesAfter := rig.Platform.Table.Counts()
-	result := d.judge(capacity, took)
+	result := d.summarize(capacity, took)
 	result.TableReadsPerSecond = float64(readsAfter-reads) / took.Seconds()
 	result.TableWritesPerSecond = float64(writesAfter-writes) / took.Seconds()
 	return result, nil
 }
 
-// prepare brings the rig to where all boxes serve.
+// prepare declares the services and waits until all boxes serve.
 func (d *drive) prepare(ctx context.Context) error {
 	if !d.rig.Wait(20*time.Second, func() bool { return d.rig.Do(ctx, "create fleet "+RigFleet) == nil }) {
-		return fmt.Errorf("the rig did not come up")
+		return fmt.Errorf("the entries did not start")
 	}
-	digest, manifest, err := d.rig.Publish(ctx, "v1", driveWeights, driveWeights/16, d.cfg.Seed)
+	digest, manifest, err := d.rig.Publish(ctx, "v1", driveWeightsSize, driveWeightsSize/16, d.cfg.Seed)
 	if err != nil {
 		return err
 	}
 	if err := d.rig.Do(ctx,
 		fmt.Sprintf("create service %s in %s kind model replicas %d", RigService, RigFleet, d.cfg.Boxes),
-		fmt.Sprintf("create service %s in %s kind plain replicas %d", RigLedger, RigFleet, driveLedgers),
+		fmt.Sprintf("create service %s in %s kind plain replicas %d", RigLedger, RigFleet, drivePlainBoxes),
 		fmt.Sprintf("declare version v1 of %s in %s digest %s", RigService, RigFleet, digest),
 	); err != nil {
 		return err
@@ -176,15 +174,15 @@
 		}
 		d.callers = append(d.callers, callers)
 	}
-	ready := func() bool { return d.rig.Serving(manifest.Whole.String()) == d.cfg.Boxes && d.seen() }
+	ready := func() bool { return d.rig.CountServing(manifest.Whole.String()) == d.cfg.Boxes && d.allReported() }
 	if !d.rig.Wait(2*time.Minute, ready) {
-		return fmt.Errorf("not all boxes serve")
+		return fmt.Errorf("not all boxes serve the first version")
 	}
 	return nil
 }
 
-// seen reports whether every entry has heard from every box that it serves.
-func (d *drive) seen() bool {
+// allReported reports whether every entry has a serving report from each of its boxes.
+func (d *drive) allReported() bool {
 	for _, e := range d.rig.Entries {
 		for _, report := range e.daemon.Boxes() {
 			if report.State != "serving" {
@@ -195,17 +193,16 @@
 	return true
 }
 
-// calibrate measures the capacity for the mix of requests: as many callers as there are slots, each asking again as
-// soon as it is answered.
+// calibrate measures the capacity in requests per second for the request mix, with one closed-loop caller per slot.
 func (d *drive) calibrate(ctx context.Context) float64 {
 	var done sync.WaitGroup
-	deadline := time.Now().Add(calibration)
+	deadline := time.Now().Add(calibrationTime)
 	begin := time.Now()
 	for worker := range d.cfg.Boxes * driveSlots {
 		rng := rand.New(rand.NewPCG(d.cfg.Seed, uint64(worker)+1))
 		done.Go(func() {
 			for n := 0; time.Now().Before(deadline); n++ {
-				d.chat(ctx, fmt.Sprintf("calibrate-%d-%d", worker, n), 0, worker%len(d.rig.Entries), tokensOf(rng), time.Now(), 0)
+				d.chat(ctx, fmt.Sprintf("calibrate-%d-%d", worker, n), 0, worker%len(d.rig.Entries), randomTokens(rng), time.Now(), 0)
 			}
 		})
 	}
@@ -219,16 +216,16 @@
 	return float64(answered) / time.Since(begin).Seconds()
 }
 
-// offer sends the load: arrivals at random times, whatever became of those before.
-func (d *drive) offer(ctx context.Context) {
+// sendLoad sends open-loop load: Poisson arrivals that do not wait for earlier responses.
+func (d *drive) sendLoad(ctx context.Context) {
 	var sent sync.WaitGroup
 	begin := time.Now()
 	at := time.Duration(0)
 	for n := 0; at < d.cfg.Duration && ctx.Err() == nil; n++ {
-		at += time.Duration(d.rng.ExpFloat64() / d.rate(at) * float64(time.Second))
+		at += time.Duration(d.rng.ExpFloat64() / d.rateAt(at) * float64(time.Second))
 		time.Sleep(time.Until(begin.Add(at)))
 		id := fmt.Sprintf("r-%d-%d", d.cfg.Seed, n)
-		team, entryIndex, tokens := d.team(), d.rng.IntN(len(d.rig.Entries)), tokensOf(d.rng)
+		team, entryIndex, tokens := d.randomTeam(), d.rng.IntN(len(d.rig.Entries)), randomTokens(d.rng)
 		once := d.rng.Float64() < d.cfg.OnceShare
 		arrived := at
 		sent.Go(func() {
@@ -242,21 +239,21 @@
 	sent.Wait()
 }
 
-// rate is the offered load at a time into the experiment.
-func (d *drive) rate(at time.Duration) float64 {
-	into := float64(at) / float64(d.cfg.Duration)
+// rateAt returns the offered load in requests per second at a time since the start.
+func (d *drive) rateAt(at time.Duration) float64 {
+	progress := float64(at) / float64(d.cfg.Duration)
 	switch {
-	case d.cfg.Burst == BurstRoster && into > 0.4 && into < 0.6:
+	case d.cfg.Burst == BurstRoster && progress > 0.4 && progress < 0.6:
 		return d.cfg.RPS * burstFactor
 	case d.cfg.Burst == BurstDeadline:
-		return d.cfg.RPS * (0.5 + 2*into)
+		return d.cfg.RPS * (0.5 + 2*progress)
 	default:
 		return d.cfg.RPS
 	}
 }
 
-// team draws a team; the first is as large as bigTeamFactor others.
-func (d *drive) team() int {
+// randomTeam picks a team; the first sends as much as bigTeamFactor others together.
+func (d *drive) randomTeam() int {
 	others := max(1, d.cfg.Teams) - 1
 	n := d.rng.IntN(bigTeamFactor + others)
 	if n < bigTeamFactor {
@@ -268,34 +265,34 @@
 func (d *drive) chat(ctx context.Context, id string, team, entryIndex, tokens int, due time.Time, arrived time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, 3*driveTimeout)
 	defer cancel()
-	call := ChatCall{Service: RigService, Prompt: id, Tokens: tokens, Stream: tokens > shortTokens, ID: id, Timeout: driveTimeout}
+	call := ChatCall{Service: RigService, Prompt: id, MaxTokens: tokens, Stream: tokens > shortTokens, ID: id, Timeout: driveTimeout}
 	answer, err := d.callers[team][entryIndex].Chat(ctx, call)
-	d.add(outcome{id: id, team: team, answer: answer, err: err, took: time.Since(due), arrived: arrived})
+	d.addOutcome(outcome{id: id, team: team, answer: answer, err: err, took: time.Since(due), arrived: arrived})
 }
 
 func (d *drive) submit(ctx context.Context, id string, team, entryIndex int, arrived time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, 3*driveTimeout)
 	defer cancel()
 	begin := time.Now()
-	call := ChatCall{ID: id, OnceKey: id, Timeout: driveTimeout}
+	call := ChatCall{ID: id, IdempotencyKey: id, Timeout: driveTimeout}
 	answer, err := d.callers[team][entryIndex].Plain(ctx, RigLedger, "/submit", []byte(id), call)
 	if err != nil || answer.Outcome == "unknown" {
-		// A caller that does not know what became of a submission sends it again under the same key.
-		again, againErr := d.callers[team][(entryIndex+1)%len(d.rig.Entries)].Plain(ctx, RigLedger, "/submit", []byte(id), call)
-		if againErr == nil {
-			answer, err = again, nil
+		// The outcome is unknown: retry at another entry with the same idempotency key.
+		retried, retryErr := d.callers[team][(entryIndex+1)%len(d.rig.Entries)].Plain(ctx, RigLedger, "/submit", []byte(id), call)
+		if retryErr == nil {
+			answer, err = retried, nil
 		}
 	}
-	d.add(outcome{id: id, team: team, once: true, answer: answer, err: err, took: time.Since(begin), arrived: arrived})
+	d.addOutcome(outcome{id: id, team: team, once: true, answer: answer, err: err, took: time.Since(begin), arrived: arrived})
 }
 
-func (d *drive) add(o outcome) {
+func (d *drive) addOutcome(o outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.outcomes = append(d.outcomes, o)
 }
 
-func (d *drive) has(fault string) bool {
+func (d *drive) hasFault(fault string) bool {
 	for _, each := range d.cfg.Faults {
 		if each == fault {
 			return true
@@ -304,35 +301,35 @@
 	return false
 }
 
-// startFaults causes the faults asked for; the function it returns ends them.
+// startFaults schedules the configured faults; the returned function stops them.
 func (d *drive) startFaults(ctx context.Context) func() {
 	at := func(share float64) time.Duration { return time.Duration(share * float64(d.cfg.Duration)) }
 	var timers []*time.Timer
-	later := func(share float64, do func()) { timers = append(timers, time.AfterFunc(at(share), do)) }
+	schedule := func(share float64, do func()) { timers = append(timers, time.AfterFunc(at(share), do)) }
 	boxes := d.rig.Boxes
-	if d.has(FaultKill) {
+	if d.hasFault(FaultKill) {
 		d.killed = true
-		later(0.3, func() { boxes[0].Kill() })
-		later(0.6, func() { _ = boxes[0].Start() })
+		schedule(0.3, func() { boxes[0].Kill() })
+		schedule(0.6, func() { _ = boxes[0].Start() })
 		plain := boxes[d.cfg.Boxes]
-		later(0.4, func() { plain.Kill() })
-		later(0.7, func() { _ = plain.Start() })
+		schedule(0.4, func() { plain.Kill() })
+		schedule(0.7, func() { _ = plain.Start() })
 	}
-	if d.has(FaultStall) {
-		later(0.2, func() { boxes[1%d.cfg.Boxes].Link.Stall(time.Second) })
-		later(0.5, func() { boxes[d.cfg.Boxes].Link.Stall(time.Second) })
+	if d.hasFault(FaultStall) {
+		schedule(0.2, func() { boxes[1%d.cfg.Boxes].Link.Stall(time.Second) })
+		schedule(0.5, func() { boxes[d.cfg.Boxes].Link.Stall(time.Second) })
 	}
-	if d.has(FaultFreeze) {
-		later(0.4, func() { boxes[2%d.cfg.Boxes].Link.Stall(at(1)) })
+	if d.hasFault(FaultFreeze) {
+		schedule(0.4, func() { boxes[2%d.cfg.Boxes].Link.Stall(at(1)) })
 	}
-	if d.has(FaultLeave) {
-		later(0.35, func() { boxes[3%d.cfg.Boxes].Leave(ctx) })
-		later(0.75, func() { _ = boxes[3%d.cfg.Boxes].Start() })
+	if d.hasFault(FaultLeave) {
+		schedule(0.35, func() { boxes[3%d.cfg.Boxes].Leave(ctx) })
+		schedule(0.75, func() { _ = boxes[3%d.cfg.Boxes].Start() })
 	}
-	if d.has(FaultOutage) {
+	if d.hasFault(FaultOutage) {
 		d.rig.Platform.Table.Faults.SetOut(true)
 	}
-	if d.has(FaultLag) {
+	if d.hasFault(FaultLag) {
 		d.rig.Platform.Live.Faults.SetOut(true)
 	}
 	return func() {
@@ -344,16 +341,15 @@
 	}
 }
 
-// tokensOf draws the length of an answer.
-func tokensOf(rng *rand.Rand) int {
+func randomTokens(rng *rand.Rand) int {
 	if rng.Float64() < shortShare {
 		return shortTokens
 	}
 	return longTokens
 }
 
-// pickerOf returns the picker of a policy; nil for the product's.
-func pickerOf(policy string, seed uint64) func() entry.Picker {
+// newPicker returns a constructor for the policy's picker; nil selects the entry's default.
+func newPicker(policy string, seed uint64) func() entry.Picker {
 	switch policy {
 	case "roundrobin":
 		return func() entry.Picker { return new(roundRobin) }
@@ -367,13 +363,12 @@
 	}
 }
 
-// roundRobin picks one box after another.
 type roundRobin struct {
 	mu   sync.Mutex
 	last string
 }
 
-// Pick returns the box after the last one picked, by id.
+// Pick returns the candidate with the next higher ID after the last pick, wrapping around.
 func (p *roundRobin) Pick(candidates []route.Candidate) (route.Candidate, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -393,13 +388,12 @@
 	return next, next.ID != ""
 }
 
-// randomPicker picks any box.
 type randomPicker struct {
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// Pick returns any of the candidates.
+// Pick returns a random candidate.
 func (p *randomPicker) Pick(candidates []route.Candidate) (route.Candidate, bool) {
 	if len(candidates) == 0 {
 		return route.Candidate{}, false
@@ -409,7 +403,7 @@
 	return candidates[p.rng.IntN(len(candidates))], true
 }
 
-// histogram returns an empty histogram of microseconds.
-func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, liveHighest, livePrecision)
+// newHistogram returns an empty histogram of latencies in microseconds.
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 }
--- a/lab/engine.go
+++ b/lab/engine.go
@@ -18,27 +18,27 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// Engine stands in for a model engine: it loads weights under fenced orders, checks them by digest, and streams
-// answers whose every token depends on the weights and the prompt, so that a mixed or foreign answer shows.
+// Engine is a fake model engine: it loads weights under fenced orders, verifies their digest and streams answers.
+// Every token depends on the weights and the prompt, so that callers detect a mixed or misrouted answer.
 type Engine struct {
-	// TokenTime is the time between tokens.
+	// TokenTime is the delay before each token.
 	TokenTime time.Duration
-	// Slots is how many answers are made at a time; 0 means no limit.
+	// Slots limits concurrent answers; 0 means no limit.
 	Slots int
-	// Unchecked makes the engine take orders whatever their fence.
-	Unchecked bool
-	// Runs records which requests ran.
+	// IgnoreFence makes the engine accept orders with any fence.
+	IgnoreFence bool
+	// Runs counts the requests that ran.
 	Runs Runs
 
 	mu    sync.Mutex
 	state upstream.State
 	slots chan struct{}
-	// rests is for how long the engine asks its box for rest when it turns a request away, as it does while that is not 0.
-	rests      time.Duration
-	turnedAway int
+	// retryAfter is the Retry-After of refusals; while it is not 0 all requests are refused.
+	retryAfter time.Duration
+	refused    int
 }
 
-// ChatRequest is the part of a chat completion request that the stand-in reads.
+// ChatRequest holds the fields of a chat completion request that the fake engine reads.
 type ChatRequest struct {
 	Model     string        `json:"model"`
 	Messages  []ChatMessage `json:"messages"`
@@ -52,7 +52,7 @@
 	Content string `json:"content"`
 }
 
-// ChatChunk is one event of a streamed answer, or a whole answer.
+// ChatChunk is one event of a streamed answer, or a complete answer.
 type ChatChunk struct {
 	ID          string       `json:"id"`
 	Object      string       `json:"object"`
@@ -61,7 +61,7 @@
 	Choices     []ChatChoice `json:"choices"`
 }
 
-// ChatChoice is the choice in a chunk.
+// ChatChoice is the only choice in a chunk.
 type ChatChoice struct {
 	Index        int          `json:"index"`
 	Delta        *ChatMessage `json:"delta,omitempty"`
@@ -76,17 +76,17 @@
 	resumeHeader  = "X-Resume-Events"
 )
 
-// Token returns token i of the answer that weights give to a prompt.
-func Token(whole, prompt string, i int) string {
+// Token returns token i of the answer to a prompt for a weights digest.
+func Token(digest, prompt string, i int) string {
 	sum := sha256.New()
-	_, _ = io.WriteString(sum, whole+"\x00"+prompt)
+	_, _ = io.WriteString(sum, digest+"\x00"+prompt)
 	var number [8]byte
 	binary.BigEndian.PutUint64(number[:], uint64(i))
 	sum.Write(number[:])
 	return strings.ToLower(base32.StdEncoding.EncodeToString(sum.Sum(nil)[:tokenBytes])) + " "
 }
 
-// Handler returns the handler that serves the engine.
+// Handler resets the engine and returns its HTTP handler.
 func (e *Engine) Handler() http.Handler {
 	e.state.Phase = upstream.PhaseEmpty
 	if e.Slots > 0 {
@@ -101,39 +101,39 @@
 	return mux
 }
 
-// State returns what the engine reports of itself.
+// State returns the state that the engine reports to its box.
 func (e *Engine) State() upstream.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state
 }
 
-// SetRest has the engine turn requests away and ask for so much rest each time; 0 ends that.
-func (e *Engine) SetRest(rest time.Duration) {
+// SetRetryAfter makes the engine refuse all requests with this Retry-After; 0 accepts requests again.
+func (e *Engine) SetRetryAfter(delay time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rests = rest
+	e.retryAfter = delay
 }
 
-// TurnedAway returns how many requests the engine has turned away.
-func (e *Engine) TurnedAway() int {
+// RefusedRequests returns how many requests the engine has refused.
+func (e *Engine) RefusedRequests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.turnedAway
+	return e.refused
 }
 
-// turnAway counts a request that is turned away, and returns how much rest is asked for; 0 where it is taken.
-func (e *Engine) turnAway() time.Duration {
+// refuse returns the Retry-After of a refused request and counts it; 0 means that the request is accepted.
+func (e *Engine) refuse() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.rests > 0 {
-		e.turnedAway++
+	if e.retryAfter > 0 {
+		e.refused++
 	}
-	return e.rests
+	return e.retryAfter
 }
 
 func (e *Engine) load(order upstream.Order) {
-	whole, err := fetchWhole(order.Source)
+	digest, err := fetchDigest(order.Source)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state.Fence != order.Fence {
@@ -142,31 +142,31 @@
 	switch {
 	case err != nil:
 		e.state.Phase, e.state.Error = upstream.PhaseFailed, err.Error()
-	case whole != order.Digest:
-		e.state.Phase, e.state.Error = upstream.PhaseFailed, "weights have digest "+whole
+	case digest != order.Digest:
+		e.state.Phase, e.state.Error = upstream.PhaseFailed, "weights have digest "+digest
 	default:
-		e.state.Phase, e.state.Digest, e.state.Version = upstream.PhaseReady, whole, order.Version
+		e.state.Phase, e.state.Digest, e.state.Version = upstream.PhaseReady, digest, order.Version
 	}
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
 	var req ChatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil || len(req.Messages) == 0 {
-		http.Error(w, "no chat request", http.StatusBadRequest)
+		http.Error(w, "invalid chat request", http.StatusBadRequest)
 		return
 	}
-	if rest := e.turnAway(); rest > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(int(rest.Seconds())))
-		http.Error(w, "the engine rests", http.StatusServiceUnavailable)
+	if delay := e.refuse(); delay > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(delay.Seconds())))
+		http.Error(w, "the engine accepts no requests for now", http.StatusServiceUnavailable)
 		return
 	}
-	if !e.enter(r.Context()) {
+	if !e.acquireSlot(r.Context()) {
 		return
 	}
-	defer e.leave()
+	defer e.releaseSlot()
 	state := e.State()
 	if state.Phase != upstream.PhaseReady {
-		http.Error(w, "no weights are loaded", http.StatusServiceUnavailable)
+		http.Error(w, "no weights loaded", http.StatusServiceUnavailable)
 		return
 	}
 	e.Runs.add(r.Header.Get(requestHeader))
@@ -174,12 +174,12 @@
 	if req.MaxTokens <= 0 {
 		req.MaxTokens = defaultTokens
 	}
-	answer := answerer{engine: e, req: req, prompt: req.Messages[len(req.Messages)-1].Content, first: state.Digest}
+	answer := answerer{engine: e, req: req, prompt: req.Messages[len(req.Messages)-1].Content, digest: state.Digest}
 	if req.Stream {
 		answer.stream(w, r)
 		return
 	}
-	answer.whole(w, r)
+	answer.complete(w, r)
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
@@ -190,7 +190,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.Unchecked && !e.state.Fence.Less(order.Fence) {
+	if !e.IgnoreFence && !e.state.Fence.Less(order.Fence) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -206,7 +206,7 @@
 	writeJSON(w, e.State())
 }
 
-func (e *Engine) enter(ctx context.Context) bool {
+func (e *Engine) acquireSlot(ctx context.Context) bool {
 	if e.slots == nil {
 		return true
 	}
@@ -218,24 +218,24 @@
 	}
 }
 
-func (e *Engine) leave() {
+func (e *Engine) releaseSlot() {
 	if e.slots != nil {
 		<-e.slots
 	}
 }
 
-// answerer makes one answer; each token is made from the weights loaded at that moment.
+// answerer generates one answer; each token uses the weights loaded at that moment.
 type answerer struct {
 	engine *Engine
 	req    ChatRequest
 	prompt string
-	first  string
+	digest string
 }
 
 func (a answerer) chunk(choice ChatChoice) ChatChunk {
 	return ChatChunk{
 		ID: "chat", Object: "chat.completion.chunk", Model: a.req.Model,
-		Fingerprint: a.first, Choices: []ChatChoice{choice},
+		Fingerprint: a.digest, Choices: []ChatChoice{choice},
 	}
 }
 
@@ -246,7 +246,7 @@
 		done = 0
 	}
 	for i := done; i < a.req.MaxTokens; i++ {
-		if !a.pause(r) {
+		if !a.waitToken(r) {
 			return
 		}
 		delta := &ChatMessage{Role: "assistant", Content: Token(a.engine.State().Digest, a.prompt, i)}
@@ -257,10 +257,10 @@
 	_, _ = io.WriteString(w, "data: [DONE]\n\n")
 }
 
-func (a answerer) whole(w http.ResponseWriter, r *http.Request) {
+func (a answerer) complete(w http.ResponseWriter, r *http.Request) {
 	var text strings.Builder
 	for i := range a.req.MaxTokens {
-		if !a.pause(r) {
+		if !a.waitToken(r) {
 			return
 		}
 		text.WriteString(Token(a.engine.State().Digest, a.prompt, i))
@@ -271,7 +271,7 @@
 	writeJSON(w, answer)
 }
 
-func (a answerer) pause(r *http.Request) bool {
+func (a answerer) waitToken(r *http.Request) bool {
 	select {
 	case <-time.After(a.engine.TokenTime):
 		return true
@@ -280,8 +280,8 @@
 	}
 }
 
-// fetchWhole reads weights from a box and returns their digest.
-func fetchWhole(source string) (string, error) {
+// fetchDigest downloads weights from a box and returns their digest.
+func fetchDigest(source string) (string, error) {
 	resp, err := http.Get(source)
 	if err != nil {
 		return "", err
--- a/lab/faults.go
+++ b/lab/faults.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Faults are the ways in which a stand-in misbehaves; the zero value is healthy.
+// Faults injects faults into a fake service; the zero value injects none.
 type Faults struct {
-	mu         sync.Mutex
-	out        bool
-	delay      time.Duration
-	loseAnswer int
+	mu            sync.Mutex
+	unavailable   bool
+	delay         time.Duration
+	lostResponses int
 }
 
-// LoseAnswers lets the next n writes take effect without an answer.
+// LoseAnswers makes the next n writes succeed but lose their response: the caller gets status 503.
 func (f *Faults) LoseAnswers(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseAnswer = n
+	f.lostResponses = n
 }
 
-// SetDelay makes each call take that much longer.
+// SetDelay delays each call by d.
 func (f *Faults) SetDelay(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = d
 }
 
-// SetOut takes the service out, or brings it back.
+// SetOut makes the service answer 503 to all calls, or ends that.
 func (f *Faults) SetOut(out bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.out = out
+	f.unavailable = out
 }
 
-// refuse answers for a service that is out and reports whether it did.
-func (f *Faults) refuse(w http.ResponseWriter) bool {
+// serveFault applies the delay, and answers 503 if the service is unavailable; it reports whether it answered.
+func (f *Faults) serveFault(w http.ResponseWriter) bool {
 	f.mu.Lock()
-	out, delay := f.out, f.delay
+	out, delay := f.unavailable, f.delay
 	f.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
@@ -49,13 +49,13 @@
 	return out
 }
 
-// loses reports whether the answer to the write just made is lost.
-func (f *Faults) loses() bool {
+// dropResponse reports whether the response to the current write is lost.
+func (f *Faults) dropResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.loseAnswer == 0 {
+	if f.lostResponses == 0 {
 		return false
 	}
-	f.loseAnswer--
+	f.lostResponses--
 	return true
 }
--- a/lab/link.go
+++ b/lab/link.go
@@ -13,53 +13,53 @@
 )
 
 const (
-	// linkPiece is how many bytes pass a link at a time, so that connections share it evenly.
-	linkPiece = 4 << 10
-	// packet is the piece of a link that is to delay small messages as a real one does; it costs more processor time.
-	packet = 1460
-	// corruptFrom is the least length of a write that a corrupting link damages: chunks, not small messages.
-	corruptFrom = 2 << 10
-	stallPoll   = 5 * time.Millisecond
+	// segmentSize bounds the bytes sent at once, so that connections share the link evenly.
+	segmentSize = 4 << 10
+	// packetSize is the segment size that delays small messages as a real link does; it costs more CPU time.
+	packetSize = 1460
+	// minCorruptLen limits corruption to writes of chunks, not small messages.
+	minCorruptLen = 2 << 10
+	stallInterval = 5 * time.Millisecond
 )
 
-var errCut = errors.New("lab: the link is cut")
+var errLinkDown = errors.New("lab: the link is down")
 
-// Link is one box's link to the rest of the world: what goes in and out shares its rate.
+// Link is a box's simulated network link; inbound and outbound traffic share its rate.
 type Link struct {
 	limiter *rate.Limiter
-	piece   atomic.Int64
+	segment atomic.Int64
 	in, out atomic.Int64
 
 	mu  sync.Mutex
 	rng *rand.Rand
-	// corrupt is the chance that a byte of a chunk is damaged.
-	corrupt float64
-	stall   time.Time
-	cut     bool
-	conns   map[*linkConn]bool
+	// corruptProb is the probability that a byte of a chunk is corrupted.
+	corruptProb  float64
+	stalledUntil time.Time
+	down         bool
+	conns        map[*linkConn]bool
 }
 
-// NewLink returns a link of so many bytes a second, in and out together; 0 means no limit.
+// NewLink returns a link with a rate in bytes per second, in and out together; 0 means no limit.
 func NewLink(bytesPerSecond float64, seed uint64) *Link {
 	l := &Link{
-		limiter: rate.NewLimiter(rate.Inf, linkPiece),
+		limiter: rate.NewLimiter(rate.Inf, segmentSize),
 		rng:     rand.New(rand.NewPCG(seed, seed)),
 		conns:   make(map[*linkConn]bool),
 	}
-	l.piece.Store(linkPiece)
+	l.segment.Store(segmentSize)
 	l.SetRate(bytesPerSecond)
 	return l
 }
 
-// Bytes returns the bytes that passed in and out.
+// Bytes returns the number of bytes received and sent.
 func (l *Link) Bytes() (in, out int64) { return l.in.Load(), l.out.Load() }
 
-// Cut breaks all connections and lets none be made, until it is healed.
-func (l *Link) Cut(cut bool) {
+// SetDown closes all connections and prevents new ones, or ends that.
+func (l *Link) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
-	if !cut {
+	l.down = down
+	if !down {
 		return
 	}
 	for conn := range l.conns {
@@ -67,10 +67,10 @@
 	}
 }
 
-// Dial makes a connection over the link.
+// Dial opens a connection over the link.
 func (l *Link) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if l.isCut() {
-		return nil, errCut
+	if l.isDown() {
+		return nil, errLinkDown
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
@@ -80,22 +80,22 @@
 	return l.wrap(conn), nil
 }
 
-// Listener returns a listener whose connections pass the link.
+// Listener returns a listener whose connections use the link.
 func (l *Link) Listener(inner net.Listener) net.Listener {
 	return &linkListener{Listener: inner, link: l}
 }
 
-// SetCorrupt damages a share of the chunks of a size that go out.
+// SetCorrupt corrupts a share, from 0 to 1, of the outgoing chunks; chunkSize is in bytes.
 func (l *Link) SetCorrupt(share float64, chunkSize int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.corrupt = share / float64(chunkSize)
+	l.corruptProb = share / float64(chunkSize)
 }
 
-// SetPackets lets what passes the link pass in packets, so that small messages wait no longer than on a real one.
-func (l *Link) SetPackets() { l.piece.Store(packet) }
+// UsePacketSize sends packet by packet, so that small messages are delayed as on a real link.
+func (l *Link) UsePacketSize() { l.segment.Store(packetSize) }
 
-// SetRate changes the link's rate; 0 means no limit.
+// SetRate sets the rate in bytes per second; 0 means no limit.
 func (l *Link) SetRate(bytesPerSecond float64) {
 	if bytesPerSecond <= 0 {
 		l.limiter.SetLimit(rate.Inf)
@@ -104,22 +104,22 @@
 	l.limiter.SetLimit(rate.Limit(bytesPerSecond))
 }
 
-// Stall lets nothing pass for a while; connections stay up.
+// Stall stops all traffic for a duration; connections stay open.
 func (l *Link) Stall(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stall = time.Now().Add(d)
+	l.stalledUntil = time.Now().Add(d)
 }
 
-func (l *Link) isCut() bool {
+func (l *Link) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.down
 }
 
-func (l *Link) pass(n int) {
+func (l *Link) throttle(n int) {
 	for l.stalled() {
-		time.Sleep(stallPoll)
+		time.Sleep(stallInterval)
 	}
 	_ = l.limiter.WaitN(context.Background(), n)
 }
@@ -127,19 +127,19 @@
 func (l *Link) stalled() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Now().Before(l.stall)
+	return time.Now().Before(l.stalledUntil)
 }
 
-// damage returns data, or a copy with one byte changed.
-func (l *Link) damage(data []byte) []byte {
+// corruptData returns data, or with some probability a copy with one byte changed.
+func (l *Link) corruptData(data []byte) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.corrupt == 0 || len(data) < corruptFrom || l.rng.Float64() >= l.corrupt*float64(len(data)) {
+	if l.corruptProb == 0 || len(data) < minCorruptLen || l.rng.Float64() >= l.corruptProb*float64(len(data)) {
 		return data
 	}
-	damaged := append([]byte(nil), data...)
-	damaged[len(damaged)/2] ^= 0x55
-	return damaged
+	corrupted := append([]byte(nil), data...)
+	corrupted[len(corrupted)/2] ^= 0x55
+	return corrupted
 }
 
 func (l *Link) wrap(conn net.Conn) net.Conn {
@@ -155,14 +155,14 @@
 	link *Link
 }
 
-// Accept returns the next connection, over the link.
+// Accept returns the next connection, wrapped in the link; it closes connections while the link is down.
 func (l *linkListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if !l.link.isCut() {
+		if !l.link.isDown() {
 			return l.link.wrap(conn), nil
 		}
 		_ = conn.Close()
@@ -174,7 +174,7 @@
 	link *Link
 }
 
-// Close ends the connection.
+// Close closes the connection and removes it from the link.
 func (c *linkConn) Close() error {
 	c.link.mu.Lock()
 	delete(c.link.conns, c)
@@ -182,26 +182,26 @@
 	return c.Conn.Close()
 }
 
-// Read reads at most a piece, as fast as the link lets it in.
+// Read reads at most one segment at the link's rate.
 func (c *linkConn) Read(p []byte) (int, error) {
-	p = p[:min(len(p), int(c.link.piece.Load()))]
+	p = p[:min(len(p), int(c.link.segment.Load()))]
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.link.pass(n)
+		c.link.throttle(n)
 		c.link.in.Add(int64(n))
 	}
 	return n, err
 }
 
-// Write writes piece by piece, as fast as the link lets it out.
+// Write writes segment by segment at the link's rate.
 func (c *linkConn) Write(p []byte) (int, error) {
-	data := c.link.damage(p)
-	size := int(c.link.piece.Load())
+	data := c.link.corruptData(p)
+	size := int(c.link.segment.Load())
 	written := 0
 	for written < len(data) {
-		piece := data[written:min(len(data), written+size)]
-		c.link.pass(len(piece))
-		n, err := c.Conn.Write(piece)
+		segment := data[written:min(len(data), written+size)]
+		c.link.throttle(len(segment))
+		n, err := c.Conn.Write(segment)
 		written += n
 		c.link.out.Add(int64(n))
 		if err != nil {
--- a/lab/livelist.go
+++ b/lab/livelist.go
@@ -10,7 +10,7 @@
 	"github.com/coralstair/coralstair/membership"
 )
 
-// LiveList stands in for the platform's list of live and leaving boxes.
+// LiveList is a fake of the platform's list of live and leaving boxes.
 type LiveList struct {
 	Faults Faults
 
@@ -28,16 +28,16 @@
 	l.members[member.ID] = member
 }
 
-// Remove takes a member off the list.
+// Remove removes a member.
 func (l *LiveList) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.members, id)
 }
 
-// ServeHTTP answers GET with the list and takes PUT of one member.
+// ServeHTTP returns the list on GET and stores one member on PUT.
 func (l *LiveList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if l.Faults.refuse(w) {
+	if l.Faults.serveFault(w) {
 		return
 	}
 	if r.Method == http.MethodPut {
--- a/lab/local.go
+++ b/lab/local.go
@@ -6,7 +6,7 @@
 	"github.com/coralstair/coralstair/dynamo"
 )
 
-// LocalTable is a stand-in table service on loopback with a client of it.
+// LocalTable is a client of a fake table service on loopback.
 type LocalTable struct {
 	*dynamo.Table
 	Service *Table
@@ -14,7 +14,7 @@
 	server *httptest.Server
 }
 
-// NewLocalTable starts a table service; Close ends it.
+// NewLocalTable starts a fake table service; Close stops it.
 func NewLocalTable() *LocalTable {
 	service := new(Table)
 	server := httptest.NewServer(service)
@@ -25,5 +25,5 @@
 	return &LocalTable{Table: client, Service: service, server: server}
 }
 
-// Close ends the table service.
+// Close stops the table service.
 func (l *LocalTable) Close() { l.server.Close() }
--- a/lab/objects.go
+++ b/lab/objects.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	pacedPiece  = 16 << 10
+	pacedWrite  = 16 << 10
 	maxObject   = 64 << 20
 	missingBody = `<?xml version="1.0" encoding="UTF-8"?><Error><Code>NoSuchKey</Code><Message>no such key</Message></Error>`
 	existsBody  = `<?xml version="1.0" encoding="UTF-8"?><Error><Code>PreconditionFailed</Code><Message>exists</Message></Error>`
 )
 
-// Objects stands in for the object store and origin of weights: whole objects, conditional creation, and a paced link.
+// Objects is a fake object store, the origin of weights, with conditional creation and rate-limited reads.
 type Objects struct {
 	Faults Faults
 
-	mu      sync.Mutex
-	objects map[string][]byte
-	limiter *rate.Limiter
-	drawn   int64
+	mu         sync.Mutex
+	objects    map[string][]byte
+	limiter    *rate.Limiter
+	downloaded int64
 }
 
-// Drawn returns the bytes of chunks read so far.
-func (o *Objects) Drawn() int64 {
+// DownloadedBytes returns the bytes of chunks read so far.
+func (o *Objects) DownloadedBytes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.drawn
+	return o.downloaded
 }
 
-// ServeHTTP answers GET, HEAD and PUT of /bucket/key.
+// ServeHTTP serves GET, HEAD and PUT of /bucket/key.
 func (o *Objects) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if o.Faults.refuse(w) {
+	if o.Faults.serveFault(w) {
 		return
 	}
 	_, key, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -51,13 +51,13 @@
 	}
 }
 
-// SetRate paces reads to so many bytes a second; 0 removes the pace.
+// SetRate limits all reads together to a rate in bytes per second; 0 removes the limit.
 func (o *Objects) SetRate(bytesPerSecond float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.limiter = nil
 	if bytesPerSecond > 0 {
-		o.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), pacedPiece)
+		o.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), pacedWrite)
 	}
 }
 
@@ -66,7 +66,7 @@
 	data, ok := o.objects[key]
 	limiter := o.limiter
 	if ok && strings.HasPrefix(key, "chunks/") {
-		o.drawn += int64(len(data))
+		o.downloaded += int64(len(data))
 	}
 	o.mu.Unlock()
 	if !ok {
@@ -77,7 +77,7 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	sendPaced(r.Context(), w, data, limiter)
+	writePaced(r.Context(), w, data, limiter)
 }
 
 func (o *Objects) put(w http.ResponseWriter, r *http.Request, key string) {
@@ -90,15 +90,15 @@
 		writeXML(w, http.StatusPreconditionFailed, existsBody)
 		return
 	}
-	if o.Faults.loses() {
+	if o.Faults.dropResponse() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-func (o *Objects) store(key string, body []byte, absent bool) bool {
+func (o *Objects) store(key string, body []byte, ifAbsent bool) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if _, there := o.objects[key]; there && absent {
+	if _, exists := o.objects[key]; exists && ifAbsent {
 		return false
 	}
 	if o.objects == nil {
@@ -108,10 +108,10 @@
 	return true
 }
 
-// sendPaced writes data piece by piece as the limiter allows; nil means at once.
-func sendPaced(ctx context.Context, w io.Writer, data []byte, limiter *rate.Limiter) {
+// writePaced writes data as the limiter allows; a nil limiter does not delay.
+func writePaced(ctx context.Context, w io.Writer, data []byte, limiter *rate.Limiter) {
 	for len(data) > 0 {
-		n := min(len(data), pacedPiece)
+		n := min(len(data), pacedWrite)
 		if limiter != nil && limiter.WaitN(ctx, n) != nil {
 			return
 		}
--- a/lab/plain.go
+++ b/lab/plain.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// Plain stands in for a plain service: it records each call and answers with what it was asked.
+// Plain is a fake plain service: it counts each request and echoes it.
 type Plain struct {
-	// Runs records which requests ran.
+	// Runs counts the requests that ran.
 	Runs Runs
 }
 
-// PlainAnswer is the stand-in's answer.
+// PlainAnswer is the response of Plain.
 type PlainAnswer struct {
 	Path    string `json:"path"`
 	Request string `json:"request"`
 	Echo    string `json:"echo"`
 }
 
-// Handler returns the handler that serves the plain service.
+// Handler returns the HTTP handler of the service.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", func(http.ResponseWriter, *http.Request) {})
@@ -39,20 +39,20 @@
 	writeJSON(w, PlainAnswer{Path: r.URL.Path, Request: id, Echo: string(body)})
 }
 
-// Runs counts how often each request ran, by its id; a zero Runs is empty.
+// Runs counts how often each request ran, by request ID; the zero value is ready to use.
 type Runs struct {
 	mu    sync.Mutex
 	count map[string]int
 }
 
-// Count returns how often a request ran.
+// Count returns the number of runs of a request.
 func (r *Runs) Count(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count[id]
 }
 
-// Counts returns how often each request ran.
+// Counts returns the number of runs by request ID.
 func (r *Runs) Counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/platform.go
+++ b/lab/platform.go
@@ -2,21 +2,21 @@
 
 import "net/http"
 
-// Paths of the platform stand-in.
+// Paths of the fake platform.
 const (
 	PathTable   = "/table"
 	PathObjects = "/objects/"
 	PathLive    = "/live"
 )
 
-// Platform is all of the platform behind one handler.
+// Platform serves all fake platform services behind one handler.
 type Platform struct {
 	Table   Table
 	Objects Objects
 	Live    LiveList
 }
 
-// Handler returns the handler that serves the platform.
+// Handler returns the HTTP handler of the platform.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(PathTable, &p.Table)
--- a/lab/plot.go
+++ b/lab/plot.go
@@ -15,7 +15,7 @@
 	percent    = 100
 )
 
-// Plot draws, for each experiment, the boxes serving and the origin's bytes over time into a PNG file.
+// Plot writes a PNG file with the serving boxes and the origin's bytes over time for each experiment.
 func Plot(path string, results []RolloutResult) error {
 	p := plot.New()
 	p.Title.Text = "Rollout: boxes serving, and copies drawn from the origin"
--- a/lab/rig.go
+++ b/lab/rig.go
@@ -30,7 +30,7 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// Names used by the rig.
+// Names of the rig's fleet and services.
 const (
 	RigFleet   = "lab"
 	RigService = "drafts"
@@ -39,29 +39,29 @@
 	rigSecret       = "secret"
 	rigBucket       = "weights"
 	rigListInterval = 500 * time.Millisecond
-	waitPoll        = 10 * time.Millisecond
+	pollInterval    = 10 * time.Millisecond
 )
 
-// RigConfig says what a rig consists of.
+// RigConfig configures a rig.
 type RigConfig struct {
 	Boxes, Sites, Entries int
-	// Plain is how many more boxes stand before plain services.
-	Plain int
-	// Teams is how many teams have keys.
+	// PlainBoxes is the number of additional boxes with a plain service.
+	PlainBoxes int
+	// Teams is the number of teams with keys.
 	Teams int
-	// Slots is how many answers an engine makes at a time; 0 for no limit.
+	// Slots limits an engine's concurrent answers; 0 means no limit.
 	Slots     int
 	TokenTime time.Duration
-	// LinkRate is what the boxes are told of their links, in bytes a second; 0 for nothing.
+	// LinkRate is the link rate configured at the boxes, in bytes per second; 0 means unknown.
 	LinkRate int64
 	Params   swarm.Params
 	Seed     uint64
 	Checks   *invariant.Recorder
-	// Picker makes the entries' picker; nil means the product's.
+	// Picker returns an entry's picker; nil selects the default.
 	Picker func() entry.Picker
 }
 
-// Rig is the whole system inside one process, with real daemons on loopback and stand-ins around them.
+// Rig runs the whole system in one process: real daemons on loopback with fakes of the external systems.
 type Rig struct {
 	Platform *Platform
 	Entries  []*RigEntry
@@ -87,9 +87,9 @@
 	Engine   *Engine
 	Plain    *Plain
 
-	rig      *Rig
-	kind     fleet.Kind
-	upstream string
+	rig         *Rig
+	kind        fleet.Kind
+	upstreamURL string
 
 	mu     sync.Mutex
 	daemon *box.Box
@@ -107,7 +107,7 @@
 	done   chan struct{}
 }
 
-// NewRig starts a rig; Close ends it.
+// NewRig starts a rig; Close stops it.
 func NewRig(cfg RigConfig) (*Rig, error) {
 	if cfg.Checks == nil {
 		cfg.Checks = new(invariant.Recorder)
@@ -121,7 +121,7 @@
 	return r, nil
 }
 
-// Client returns an operator's client of all entries.
+// Client returns a client of all entries with the operator's key.
 func (r *Rig) Client() *client.Client {
 	c := &client.Client{Key: r.operator}
 	for _, e := range r.Entries {
@@ -130,7 +130,7 @@
 	return c
 }
 
-// Env returns the environment with which the command line reaches the rig; key files are written to dir.
+// Env writes key files to dir and returns the environment with which the command line reaches the rig.
 func (r *Rig) Env(dir string) ([]string, error) {
 	keyFile, secretFile := filepath.Join(dir, "operator.key"), filepath.Join(dir, "secret")
 	err := errors.Join(
@@ -143,18 +143,18 @@
 	}, err
 }
 
-// Caller returns a caller of a team that sends to an entry.
+// Caller returns a caller with a team's key that sends to an entry; both are indices.
 func (r *Rig) Caller(team, entry int) *Caller {
 	return &Caller{URL: r.Entries[entry].URL, Key: r.teams[team]}
 }
 
-// Close ends all that the rig started.
+// Close stops everything that the rig started and waits for it.
 func (r *Rig) Close() {
 	r.cancel()
 	r.running.Wait()
 }
 
-// Do has statements carried out, one after another.
+// Do executes statements one after another.
 func (r *Rig) Do(ctx context.Context, statements ...string) error {
 	c := r.Client()
 	for _, text := range statements {
@@ -165,10 +165,10 @@
 	return nil
 }
 
-// Objects returns the rig's object store as the daemons see it, without a link in between.
+// Objects returns a client of the object store that uses no simulated link.
 func (r *Rig) Objects() *dynamo.Objects { return r.objects(nil) }
 
-// Publish stores weights of a size made from a seed and returns their manifest's digest.
+// Publish stores weights of size bytes, generated from seed, and returns the manifest's digest and the manifest.
 func (r *Rig) Publish(ctx context.Context, name string, size, chunkSize int64, seed uint64) (weights.Digest, weights.Manifest, error) {
 	var key [32]byte
 	for i := range 8 {
@@ -178,25 +178,25 @@
 	return weights.Publish(ctx, r.Objects(), name, source, chunkSize)
 }
 
-// Serving counts the boxes whose engine runs the weights with a digest and whose gate is open.
-func (r *Rig) Serving(whole string) int {
+// CountServing counts the boxes that serve the weights with a digest.
+func (r *Rig) CountServing(digest string) int {
 	n := 0
 	for _, b := range r.Boxes {
-		if b.Serves(whole) {
+		if b.Serves(digest) {
 			n++
 		}
 	}
 	return n
 }
 
-// Wait waits until a condition holds; false means that the time ran out.
-func (r *Rig) Wait(limit time.Duration, holds func() bool) bool {
+// Wait polls until a condition holds; it returns false on timeout.
+func (r *Rig) Wait(limit time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(limit)
-	for !holds() {
+	for !condition() {
 		if time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 	return true
 }
@@ -211,7 +211,7 @@
 	if err := r.makeKeys(); err != nil {
 		return err
 	}
-	for i := range r.cfg.Boxes + r.cfg.Plain {
+	for i := range r.cfg.Boxes + r.cfg.PlainBoxes {
 		b, err := r.newBox(i)
 		if err != nil {
 			return err
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// serve answers on a listener until the rig is closed.
+// serve serves HTTP on a listener until the rig is closed.
 func (r *Rig) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler}
 	r.running.Add(1)
@@ -268,7 +268,7 @@
 	})
 }
 
-func (r *Rig) list() *dynamo.LiveList {
+func (r *Rig) liveList() *dynamo.LiveList {
 	return &dynamo.LiveList{URL: r.platformURL + PathLive}
 }
 
@@ -285,7 +285,7 @@
 	}
 	e.daemon = entry.New(entry.Config{
 		ID: e.ID, Fleet: RigFleet, Site: r.site(i), Incarnation: strconv.FormatInt(time.Now().UnixNano(), 36),
-		Listener: listener, Ledger: ledger.New(table), Claims: table, List: r.list(), ListInterval: rigListInterval,
+		Listener: listener, Ledger: ledger.New(table), Claims: table, List: r.liveList(), ListInterval: rigListInterval,
 		Keys: r.ring, Checks: r.Checks, Picker: picker,
 	})
 	ctx, cancel := context.WithCancel(r.ctx)
@@ -304,7 +304,7 @@
 	return "site-" + strconv.Itoa(i%max(1, r.cfg.Sites))
 }
 
-// newBox makes a box with its link and upstream; the upstream runs from now on, the daemon after Start.
+// newBox returns a box with its link and a running upstream; Start starts the daemon.
 func (r *Rig) newBox(i int) (*RigBox, error) {
 	b := &RigBox{
 		ID: fmt.Sprintf("box-%03d", i), Site: r.site(i), Service: RigService, kind: fleet.KindModel,
@@ -314,7 +314,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b.upstream = "http://" + listener.Addr().String()
+	b.upstreamURL = "http://" + listener.Addr().String()
 	if i >= r.cfg.Boxes {
 		b.Service, b.kind, b.Plain = RigLedger, fleet.KindPlain, new(Plain)
 		r.serve(listener, b.Plain.Handler())
@@ -325,21 +325,21 @@
 	return b, nil
 }
 
-// Leave stops the daemon as planned, draining first, and takes it off the live list late.
+// Leave drains and stops the daemon, then removes it from the live list.
 func (b *RigBox) Leave(ctx context.Context) {
 	b.Daemon().Leave(ctx)
 	b.Kill()
 	b.rig.Platform.Live.Remove(b.ID)
 }
 
-// Daemon returns the box's daemon.
+// Daemon returns the daemon started last.
 func (b *RigBox) Daemon() *box.Box {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.daemon
 }
 
-// Kill ends the daemon without draining, as when the box loses power; the live list notices later.
+// Kill stops the daemon without draining, as a power loss does; the box stays on the live list.
 func (b *RigBox) Kill() {
 	b.mu.Lock()
 	cancel, done := b.cancel, b.done
@@ -348,17 +348,17 @@
 	<-done
 }
 
-// Serves reports whether the box's engine runs the weights with a digest and the daemon lets requests in.
-func (b *RigBox) Serves(whole string) bool {
+// Serves reports whether the engine runs the weights with a digest and the daemon accepts requests.
+func (b *RigBox) Serves(digest string) bool {
 	if b.Engine == nil {
 		return false
 	}
 	daemon := b.Daemon()
-	beat := daemon.Heartbeat()
-	return beat.Service.Open && b.Engine.State().Digest == whole
+	heartbeat := daemon.Heartbeat()
+	return heartbeat.Service.Open && b.Engine.State().Digest == digest
 }
 
-// Start starts a daemon for the box, a new one after Kill, and puts it on the live list.
+// Start starts a new daemon for the box and puts it on the live list.
 func (b *RigBox) Start() error {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -373,9 +373,9 @@
 	pacer := pace.New(b.rig.cfg.LinkRate)
 	daemon := box.New(box.Config{
 		ID: b.ID, Fleet: RigFleet, Site: b.Site, Service: b.Service, Kind: b.kind, Incarnation: incarnation,
-		Listener: b.Link.Listener(inner), Advertise: local.Addr().String(), UpstreamURL: b.upstream,
+		Listener: b.Link.Listener(inner), Advertise: local.Addr().String(), UpstreamURL: b.upstreamURL,
 		Params: b.rig.cfg.Params, Ledger: ledger.New(table), Table: table, Origin: b.rig.objects(pacer.Dialer(b.Link.Dial)), Pacer: pacer,
-		List: b.rig.list(), ListInterval: rigListInterval, LinkClient: pooledClient(b.Link.Dial), Checks: b.rig.Checks,
+		List: b.rig.liveList(), ListInterval: rigListInterval, LinkClient: pooledClient(b.Link.Dial), Checks: b.rig.Checks,
 		Slots: b.rig.cfg.Slots, Resumes: true,
 	})
 	ctx, cancel := context.WithCancel(b.rig.ctx)
@@ -397,10 +397,9 @@
 	return nil
 }
 
-// dialFunc makes a connection.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// pooledClient returns an HTTP client of its own, with its own way to dial if one is given.
+// pooledClient returns an HTTP client with its own connection pool; a nil dial uses the default.
 func pooledClient(dial dialFunc) *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, DialContext: dial}}
 }
--- a/lab/rig_test.go
+++ b/lab/rig_test.go
@@ -19,8 +19,8 @@
 	"github.com/coralstair/coralstair/problem"
 )
 
-// patience is how long a test waits for what must happen; it decides nothing but when to give up.
-const patience = 2 * time.Minute
+// testTimeout bounds every wait for a condition that must become true.
+const testTimeout = 2 * time.Minute
 
 // TestMain silences the daemons' logs.
 func TestMain(m *testing.M) {
@@ -43,7 +43,7 @@
 	return rig
 }
 
-// serveVersion publishes and declares a version, waits until n boxes serve it, and returns its whole digest.
+// serveVersion publishes and declares a version, waits until n boxes serve it, and returns the digest of its weights.
 func serveVersion(t *testing.T, rig *Rig, name string, seed uint64, n int) string {
 	t.Helper()
 	digest, manifest, err := rig.Publish(t.Context(), name, 256<<10, 16<<10, seed)
@@ -53,17 +53,16 @@
 	if err := rig.Do(t.Context(), fmt.Sprintf("declare version %s of %s in %s digest %s", name, RigService, RigFleet, digest)); err != nil {
 		t.Fatal(err)
 	}
-	whole := manifest.Whole.String()
-	if !rig.Wait(patience, func() bool { return rig.Serving(whole) >= n }) {
-		t.Fatalf("%s is served by %d of %d boxes", name, rig.Serving(whole), n)
+	weightsDigest := manifest.Whole.String()
+	if !rig.Wait(testTimeout, func() bool { return rig.CountServing(weightsDigest) >= n }) {
+		t.Fatalf("%s is served by %d of %d boxes", name, rig.CountServing(weightsDigest), n)
 	}
-	return whole
+	return weightsDigest
 }
 
-// declareServices creates the fleet and its services.
 func declareServices(t *testing.T, rig *Rig, boxes int) {
 	t.Helper()
-	if !rig.Wait(patience, func() bool { return rig.Do(t.Context(), "create fleet "+RigFleet) == nil }) {
+	if !rig.Wait(testTimeout, func() bool { return rig.Do(t.Context(), "create fleet "+RigFleet) == nil }) {
 		t.Fatal("no entry takes statements")
 	}
 	if err := rig.Do(t.Context(),
@@ -75,39 +74,39 @@
 	}
 }
 
-// awaitAnswer waits until an entry answers a chat.
+// awaitAnswer waits until an entry answers a chat request.
 func awaitAnswer(t *testing.T, caller *Caller) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
-		answer, err := caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "ready?", Tokens: 1})
+		answer, err := caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "ready?", MaxTokens: 1})
 		if err == nil && answer.Status == http.StatusOK {
 			return
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(pollInterval)
 	}
 	t.Fatal("no answer")
 }
 
-// TestRolloutFaults rolls a version out under live requests with each fault, and with all together: all that live
-// serve it at the end, no answer is mixed or wrong, and without a death no request fails.
+// TestRolloutFaults rolls out a version under live requests with each fault and with all: all surviving boxes must
+// serve it, no answer may be mixed or wrong, and no request may fail unless connections or boxes are lost.
 func TestRolloutFaults(t *testing.T) {
 	all := []string{FaultCorrupt, FaultStall, FaultDie, FaultNewVersion, FaultOutage, FaultCut}
 	for name, tc := range map[string]struct {
-		faults []string
-		prefer fleet.Preference
-		deaths bool
+		faults  []string
+		prefer  fleet.Preference
+		mayFail bool
 	}{
 		"none":       {prefer: fleet.PreferOriginBytes},
 		"none, time": {prefer: fleet.PreferTime},
 		"corrupt":    {faults: all[:1]},
 		"stall":      {faults: all[1:2]},
-		"die":        {faults: all[2:3], deaths: true},
+		"die":        {faults: all[2:3], mayFail: true},
 		"newversion": {faults: all[3:4]},
 		"outage":     {faults: all[4:5]},
-		"cut":        {faults: all[5:], deaths: true},
-		"all":        {faults: all, deaths: true},
-		"all, time":  {faults: all, prefer: fleet.PreferTime, deaths: true},
+		"cut":        {faults: all[5:], mayFail: true},
+		"all":        {faults: all, mayFail: true},
+		"all, time":  {faults: all, prefer: fleet.PreferTime, mayFail: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			prefer := tc.prefer
@@ -116,7 +115,7 @@
 			}
 			result, err := Rollout(t.Context(), RolloutConfig{
 				Boxes: 9, Sites: 3, Size: 1 << 20, ChunkSize: 16 << 10, OriginCopies: 4, BoxCopies: 2,
-				Window: 2 * time.Second, Prefer: prefer, Policy: PolicySwarm, Faults: tc.faults, Live: 20, Seed: 7, Limit: patience,
+				Window: 2 * time.Second, Prefer: prefer, Policy: PolicySwarm, Faults: tc.faults, Live: 20, Seed: 7, Limit: testTimeout,
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -124,18 +123,18 @@
 			if !result.AllServing || result.MixedAnswers > 0 || result.PartialServed > 0 || result.InvariantsBroken > 0 {
 				t.Errorf("result %+v", result)
 			}
-			if !tc.deaths && result.LiveFailed > 0 {
+			if !tc.mayFail && result.LiveFailed > 0 {
 				t.Errorf("%d of %d live requests failed", result.LiveFailed, result.LiveRequests)
 			}
 			if result.OriginCopies > 4 && len(tc.faults) == 0 {
-				t.Errorf("%.2f copies drawn from the origin", result.OriginCopies)
+				t.Errorf("%.2f copies downloaded from the origin", result.OriginCopies)
 			}
 		})
 	}
 }
 
-// TestDriveFaults sends mixed load under each fault and all together: never a wrong answer, a repeated run of a request
-// that must not be repeated, or a run after "not run".
+// TestDriveFaults sends mixed load under each fault and with all: no answer may be wrong, no once-only request may run
+// twice, and no request reported as not-run may have run.
 func TestDriveFaults(t *testing.T) {
 	all := []string{FaultKill, FaultStall, FaultFreeze, FaultLeave, FaultOutage, FaultLag}
 	cases := map[string][]string{"none": nil, "all": all}
@@ -154,16 +153,16 @@
 			if result.WrongAnswers+result.RepeatedRuns+result.RanAfterNotRun+result.InvariantsBroken > 0 {
 				t.Errorf("result %+v", result)
 			}
-			mayCut := name == FaultKill || name == FaultFreeze || name == "all"
-			if !mayCut && result.CutAnswers > 0 {
-				t.Errorf("%d answers cut off", result.CutAnswers)
+			mayTruncate := name == FaultKill || name == FaultFreeze || name == "all"
+			if !mayTruncate && result.CutAnswers > 0 {
+				t.Errorf("%d truncated answers", result.CutAnswers)
 			}
 		})
 	}
 }
 
-// TestPlannedStop: an operator stops the box that is answering a long stream; the stream ends whole, and the box gets
-// nothing more until it is started again.
+// TestPlannedStop stops a box that serves a long stream: the stream must complete, and the box must get no new requests
+// until it is started again.
 func TestPlannedStop(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 2, Sites: 1, TokenTime: 10 * time.Millisecond})
 	declareServices(t, rig, 2)
@@ -174,20 +173,20 @@
 	var err error
 	var streaming sync.WaitGroup
 	streaming.Go(func() {
-		answer, err = caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "long", Tokens: 150, Stream: true})
+		answer, err = caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "long", MaxTokens: 150, Stream: true})
 	})
 	busy := busyBox(rig)
 	if err := rig.Do(t.Context(), fmt.Sprintf("stop box %s in %s", busy.ID, RigFleet)); err != nil {
 		t.Fatal(err)
 	}
 	stopped := func() bool { return !busy.Daemon().Heartbeat().Service.Open }
-	if !rig.Wait(patience, stopped) {
-		t.Fatal("the box still lets requests in")
+	if !rig.Wait(testTimeout, stopped) {
+		t.Fatal("the box still accepts requests")
 	}
 	for i := range 10 {
-		other, err := caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: fmt.Sprint("short", i), Tokens: 1})
+		other, err := caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: fmt.Sprint("short", i), MaxTokens: 1})
 		if err != nil || other.Status != http.StatusOK || other.Box == busy.ID {
-			t.Errorf("answer %+v, %v; want one of the other box", other, err)
+			t.Errorf("answer %+v, %v; want an answer from the other box", other, err)
 		}
 	}
 	streaming.Wait()
@@ -197,13 +196,13 @@
 	if err := rig.Do(t.Context(), fmt.Sprintf("start box %s in %s", busy.ID, RigFleet)); err != nil {
 		t.Fatal(err)
 	}
-	if !rig.Wait(patience, func() bool { return busy.Daemon().Heartbeat().Service.Open }) {
+	if !rig.Wait(testTimeout, func() bool { return busy.Daemon().Heartbeat().Service.Open }) {
 		t.Error("the box does not serve after it was started again")
 	}
 }
 
-// TestStreamGoesOn: the box that answers a long stream dies; the stream goes on at another box of the same version, and
-// the caller has every token once.
+// TestStreamGoesOn kills the box that serves a long stream: another box of the same version must resume it, and the
+// caller must receive every token exactly once.
 func TestStreamGoesOn(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 2, Sites: 1, TokenTime: 10 * time.Millisecond})
 	declareServices(t, rig, 2)
@@ -214,21 +213,21 @@
 	var err error
 	var streaming sync.WaitGroup
 	streaming.Go(func() {
-		answer, err = caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "long", Tokens: 100, Stream: true})
+		answer, err = caller.Chat(t.Context(), ChatCall{Service: RigService, Prompt: "long", MaxTokens: 100, Stream: true})
 	})
 	busy := busyBox(rig)
 	time.Sleep(200 * time.Millisecond)
 	busy.Kill()
 	streaming.Wait()
 	if err != nil || answer.Tokens != 101 {
-		t.Errorf("stream of %d tokens that began at %s, which died: %v", answer.Tokens, answer.Box, err)
+		t.Errorf("stream of %d tokens, begun at the killed %s: %v", answer.Tokens, answer.Box, err)
 	}
 }
 
 // busyBox waits for a box with a request in progress.
 func busyBox(rig *Rig) *RigBox {
 	var busy *RigBox
-	rig.Wait(patience, func() bool {
+	rig.Wait(testTimeout, func() bool {
 		for _, b := range rig.Boxes {
 			if b.Daemon().Heartbeat().Load > 0 {
 				busy = b
@@ -239,10 +238,10 @@
 	return busy
 }
 
-// TestOnce: the same key at two entries at once runs once, later arrivals get the first answer, and the same key with
-// another body is refused.
+// TestOnce sends one idempotency key to two entries concurrently: the request must run once, later requests must get the
+// stored response, and the key with another body must be refused.
 func TestOnce(t *testing.T) {
-	rig := startRig(t, RigConfig{Boxes: 1, Sites: 1, Entries: 2, Plain: 1})
+	rig := startRig(t, RigConfig{Boxes: 1, Sites: 1, Entries: 2, PlainBoxes: 1})
 	declareServices(t, rig, 1)
 	ready := func() bool {
 		for e := range rig.Entries {
@@ -253,10 +252,10 @@
 		}
 		return true
 	}
-	if !rig.Wait(patience, ready) {
+	if !rig.Wait(testTimeout, ready) {
 		t.Fatal("the ledger does not answer")
 	}
-	call := ChatCall{ID: "slot-1", OnceKey: "slot-1"}
+	call := ChatCall{ID: "slot-1", IdempotencyKey: "slot-1"}
 	var sending sync.WaitGroup
 	for i := range 8 {
 		sending.Go(func() {
@@ -268,23 +267,23 @@
 	if n := runs.Count("slot-1"); n != 1 {
 		t.Errorf("the submission ran %d times", n)
 	}
-	again, err := rig.Caller(0, 1).Plain(t.Context(), RigLedger, "/slots", []byte("slot 1"), call)
-	if err != nil || again.Status != http.StatusOK || again.Outcome != "ran" || runs.Count("slot-1") != 1 {
-		t.Errorf("later arrival: %+v, %v", again, err)
+	repeated, err := rig.Caller(0, 1).Plain(t.Context(), RigLedger, "/slots", []byte("slot 1"), call)
+	if err != nil || repeated.Status != http.StatusOK || repeated.Outcome != "ran" || runs.Count("slot-1") != 1 {
+		t.Errorf("later request: %+v, %v", repeated, err)
 	}
 	other, err := rig.Caller(0, 0).Plain(t.Context(), RigLedger, "/slots", []byte("slot 2"), call)
 	if err != nil || other.Status != http.StatusUnprocessableEntity || other.Outcome != "not-run" {
-		t.Errorf("another request under the same key: %+v, %v", other, err)
+		t.Errorf("another body with the same key: %+v, %v", other, err)
 	}
 	rig.Platform.Table.Faults.SetOut(true)
 	defer rig.Platform.Table.Faults.SetOut(false)
-	refused, err := rig.Caller(0, 0).Plain(t.Context(), RigLedger, "/slots", nil, ChatCall{ID: "slot-3", OnceKey: "slot-3"})
+	refused, err := rig.Caller(0, 0).Plain(t.Context(), RigLedger, "/slots", nil, ChatCall{ID: "slot-3", IdempotencyKey: "slot-3"})
 	if err != nil || refused.Outcome != "not-run" || runs.Count("slot-3") != 0 {
-		t.Errorf("with the table out: %+v, %v, %d runs", refused, err, runs.Count("slot-3"))
+		t.Errorf("with the table unavailable: %+v, %v, %d runs", refused, err, runs.Count("slot-3"))
 	}
 }
 
-// TestBadInput: what cannot be served is refused with a problem in JSON that says that it did not run.
+// TestBadInput checks that invalid requests are refused with a JSON problem and, for callers, the outcome not-run.
 func TestBadInput(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 1, Sites: 1})
 	declareServices(t, rig, 1)
@@ -349,8 +348,8 @@
 	}
 }
 
-// TestControlFaults makes decisions while daemons are replaced, the table goes out and links are cut: none that was
-// accepted is lost, none that was refused is there, and no daemon goes back.
+// TestControlFaults changes the configuration while daemons are replaced, the table is unavailable and links are down: no
+// accepted change may be lost, no refused change may be recorded, and no daemon may go back to an older revision.
 func TestControlFaults(t *testing.T) {
 	for name, faults := range map[string][]string{
 		"none": nil, "replace": {FaultReplace}, "all": {FaultReplace, FaultOutage, FaultCut},
@@ -369,8 +368,8 @@
 	}
 }
 
-// TestRefusalsLeaveNothing: requests that are refused leave no goroutine behind.
-func TestRefusalsLeaveNothing(t *testing.T) {
+// TestRefusedRequestsLeakNoGoroutines guards against goroutines that outlive refused requests.
+func TestRefusedRequestsLeakNoGoroutines(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 1, Sites: 1})
 	declareServices(t, rig, 1)
 	transport := &http.Transport{DisableKeepAlives: true}
@@ -392,41 +391,41 @@
 		send()
 	}
 	const slack = 20
-	if !rig.Wait(patience, func() bool { return runtime.NumGoroutine() <= before+slack }) {
+	if !rig.Wait(testTimeout, func() bool { return runtime.NumGoroutine() <= before+slack }) {
 		t.Errorf("%d goroutines before, %d after 100 refused requests", before, runtime.NumGoroutine())
 	}
 }
 
-// TestReplacedBox: a box that dies and comes back empty is fed by its neighbours, not by the origin.
-func TestReplacedBox(t *testing.T) {
+// TestReplacedBoxLoadsFromPeers checks that a box restarted without weights downloads them from peers, not the origin.
+func TestReplacedBoxLoadsFromPeers(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 5, Sites: 2})
 	declareServices(t, rig, 5)
-	whole := serveVersion(t, rig, "v1", 1, 5)
-	drawn := rig.Platform.Objects.Drawn()
+	weightsDigest := serveVersion(t, rig, "v1", 1, 5)
+	before := rig.Platform.Objects.DownloadedBytes()
 	rig.Boxes[2].Kill()
 	if err := rig.Boxes[2].Start(); err != nil {
 		t.Fatal(err)
 	}
-	if !rig.Wait(patience, func() bool { return rig.Serving(whole) == 5 }) {
+	if !rig.Wait(testTimeout, func() bool { return rig.CountServing(weightsDigest) == 5 }) {
 		t.Fatal("the replaced box does not serve")
 	}
-	if more := rig.Platform.Objects.Drawn() - drawn; more != 0 {
-		t.Errorf("%d bytes drawn from the origin for a replaced box", more)
+	if more := rig.Platform.Objects.DownloadedBytes() - before; more != 0 {
+		t.Errorf("%d bytes downloaded from the origin for a replaced box", more)
 	}
 }
 
-// TestWithdrawn: once a version is dropped no box answers from it, and its name can be declared again.
+// TestWithdrawn checks that no box serves a dropped version and that a later version can be served.
 func TestWithdrawn(t *testing.T) {
 	rig := startRig(t, RigConfig{Boxes: 2, Sites: 1})
 	declareServices(t, rig, 2)
-	whole := serveVersion(t, rig, "v1", 1, 2)
+	weightsDigest := serveVersion(t, rig, "v1", 1, 2)
 	if err := rig.Do(t.Context(), fmt.Sprintf("drop version v1 of %s in %s", RigService, RigFleet)); err != nil {
 		t.Fatal(err)
 	}
-	if !rig.Wait(patience, func() bool { return rig.Serving(whole) == 0 }) {
+	if !rig.Wait(testTimeout, func() bool { return rig.CountServing(weightsDigest) == 0 }) {
 		t.Fatal("boxes still serve a withdrawn version")
 	}
-	answer, err := rig.Caller(0, 0).Chat(t.Context(), ChatCall{Service: RigService, Prompt: "x", Tokens: 1, Timeout: time.Second})
+	answer, err := rig.Caller(0, 0).Chat(t.Context(), ChatCall{Service: RigService, Prompt: "x", MaxTokens: 1, Timeout: time.Second})
 	if err != nil || answer.Status == http.StatusOK || answer.Outcome != "not-run" {
 		t.Errorf("answer %+v, %v; want that it did not run", answer, err)
 	}
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -16,7 +16,7 @@
 	"github.com/coralstair/coralstair/swarm"
 )
 
-// Policies of a rollout experiment: the product's, and the baselines.
+// Policies of a rollout experiment: PolicySwarm is the one under test, the others are baselines.
 const (
 	PolicySwarm  = "swarm"
 	PolicyOrigin = "origin"
@@ -34,10 +34,10 @@
 	FaultCut        = "cut"
 )
 
-// corruptShare is the share of the chunks that a corrupting box damages.
+// corruptShare is the fraction of chunks that a faulty box corrupts.
 const corruptShare = 0.1
 
-// RolloutConfig says what a rollout experiment does.
+// RolloutConfig configures a rollout experiment; sizes are in bytes.
 type RolloutConfig struct {
 	Boxes, Sites int
 	Size         int64
@@ -51,7 +51,7 @@
 	Live         float64
 	Seed         uint64
 	Limit        time.Duration
-	// Progress, when set, is told of the experiment's course.
+	// Progress, if set, is called with each sample.
 	Progress func(Sample)
 }
 
@@ -59,12 +59,12 @@
 type Sample struct {
 	At      time.Duration
 	Serving int
-	// Chunks is the part of all chunks of all boxes that are held, from 0 to 1.
+	// Chunks is the fraction of chunks held, over all boxes, from 0 to 1.
 	Chunks      float64
 	OriginBytes int64
 }
 
-// RolloutResult is what a rollout experiment measured. Copies are multiples of the model's size.
+// RolloutResult holds the measurements of a rollout experiment; copies are multiples of the model's size.
 type RolloutResult struct {
 	Boxes            int      `json:"boxes"`
 	Sites            int      `json:"sites"`
@@ -95,29 +95,27 @@
 	Samples          []Sample `json:"-"`
 }
 
-// Bound returns the least time in which n boxes could have the model. Each copy that a box takes in costs its own
-// link one copy, and one copy the link of whoever gives it, a box or the origin: 2n copies of link work in all. In
-// the window n boxes' links do n·boxCopies of it and the origin's originCopies.
-func Bound(n int, window time.Duration, originCopies, boxCopies float64) time.Duration {
+// LowerBound returns the minimum time in which n boxes can receive the model. Each received copy uses two links, the
+// receiver's and the sender's: 2n copies in all. Per window the links carry n·boxCopies + originCopies.
+func LowerBound(n int, window time.Duration, originCopies, boxCopies float64) time.Duration {
 	work := 2 * float64(n)
 	perWindow := float64(n)*boxCopies + originCopies
 	return time.Duration(work / perWindow * float64(window))
 }
 
-// rollout is a running experiment.
 type rollout struct {
-	cfg    RolloutConfig
-	rig    *Rig
-	began  time.Time
-	result RolloutResult
-	live   liveLoad
-	dead   map[string]bool
-
-	mu    sync.Mutex
-	whole string
+	cfg       RolloutConfig
+	rig       *Rig
+	startedAt time.Time
+	result    RolloutResult
+	live      liveLoad
+	killed    map[string]bool
+
+	mu     sync.Mutex
+	digest string
 }
 
-// Rollout runs one experiment.
+// Rollout measures how a new version reaches all boxes.
 func Rollout(ctx context.Context, cfg RolloutConfig) (RolloutResult, error) {
 	rig, err := NewRig(RigConfig{
 		Boxes: cfg.Boxes, Sites: cfg.Sites, Seed: cfg.Seed, TokenTime: time.Millisecond,
@@ -128,7 +126,7 @@
 		return RolloutResult{}, err
 	}
 	defer rig.Close()
-	x := &rollout{cfg: cfg, rig: rig, dead: make(map[string]bool)}
+	x := &rollout{cfg: cfg, rig: rig, killed: make(map[string]bool)}
 	if err := x.prepare(ctx); err != nil {
 		return RolloutResult{}, err
 	}
@@ -142,7 +140,7 @@
 	return x.result, nil
 }
 
-// swarmParams scales the times of the policy with the window, as an operator's settings would.
+// swarmParams scales the policy's delays with the window, as an operator's settings would.
 func swarmParams(cfg RolloutConfig) swarm.Params {
 	return swarm.Params{
 		Patience: max(cfg.Window/20, 500*time.Millisecond),
@@ -156,7 +154,7 @@
 		return x.rig.Do(ctx, "create fleet "+RigFleet) == nil
 	}
 	if !x.rig.Wait(20*time.Second, ready) {
-		return fmt.Errorf("the rig did not come up")
+		return fmt.Errorf("the entries did not start")
 	}
 	if err := x.rig.Do(ctx,
 		fmt.Sprintf("create service %s in %s kind model replicas %d", RigService, RigFleet, cfg.Boxes),
@@ -169,96 +167,96 @@
 		if err := x.declare(ctx, "v0", cfg.ChunkSize, cfg.Seed+1000); err != nil {
 			return err
 		}
-		if !x.rig.Wait(time.Minute, func() bool { return x.rig.Serving(x.declared()) == cfg.Boxes }) {
-			return fmt.Errorf("the first version is not served everywhere")
+		if !x.rig.Wait(time.Minute, func() bool { return x.rig.CountServing(x.declaredDigest()) == cfg.Boxes }) {
+			return fmt.Errorf("not all boxes serve the first version")
 		}
 	}
 	x.result = RolloutResult{
 		Boxes: cfg.Boxes, Sites: cfg.Sites, SizeBytes: cfg.Size, Policy: cfg.Policy, Prefer: string(cfg.Prefer),
 		Seed: cfg.Seed, Faults: strings.Join(cfg.Faults, ","),
-		TimeBound: Bound(cfg.Boxes, cfg.Window, cfg.OriginCopies, cfg.BoxCopies).Seconds(),
+		TimeBound: LowerBound(cfg.Boxes, cfg.Window, cfg.OriginCopies, cfg.BoxCopies).Seconds(),
 	}
 	perSecond := float64(cfg.Size) / cfg.Window.Seconds()
 	for _, b := range x.rig.Boxes {
 		b.Link.SetRate(cfg.BoxCopies * perSecond)
 		if cfg.Live > 0 {
-			b.Link.SetPackets()
+			b.Link.UsePacketSize()
 		}
 	}
 	x.rig.Platform.Objects.SetRate(cfg.OriginCopies * perSecond)
 	return nil
 }
 
-// declare publishes weights and declares them, or only publishes them for a baseline.
+// declare publishes weights and declares them as a version.
 func (x *rollout) declare(ctx context.Context, name string, size int64, seed uint64) error {
 	digest, manifest, err := x.rig.Publish(ctx, name, size, x.cfg.ChunkSize, seed)
 	if err != nil {
 		return err
 	}
-	x.live.published(manifest.Whole.String())
+	x.live.addPublished(manifest.Whole.String())
 	statement := fmt.Sprintf("declare version %s of %s in %s digest %s", name, RigService, RigFleet, digest)
 	if err := x.rig.Do(ctx, statement); err != nil {
 		return err
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.whole = manifest.Whole.String()
+	x.digest = manifest.Whole.String()
 	return nil
 }
 
-// declared returns the digest of the whole weights declared last.
-func (x *rollout) declared() string {
+// declaredDigest returns the digest of the weights declared last.
+func (x *rollout) declaredDigest() string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.whole
+	return x.digest
 }
 
 func (x *rollout) run(ctx context.Context) error {
 	if x.cfg.Live > 0 {
-		x.live.run(x.rig, x.cfg.Live, x.cfg.Window/2, &x.live.idle)
+		x.live.runFor(x.rig, x.cfg.Live, x.cfg.Window/2, &x.live.idle)
 	}
 	before := x.linkBytes()
-	drawn := x.rig.Platform.Objects.Drawn()
+	downloadedBefore := x.rig.Platform.Objects.DownloadedBytes()
 	if err := x.declare(ctx, "v1", x.cfg.Size, x.cfg.Seed); err != nil {
 		return err
 	}
-	x.began = time.Now()
+	x.startedAt = time.Now()
 	stop := x.startLive()
 	stopFaults := x.startFaults(ctx)
-	x.watch(ctx, drawn)
+	x.sample(ctx, downloadedBefore)
 	stopFaults()
 	stop()
 	after := x.linkBytes()
 	for id, bytes := range after {
 		x.result.MaxBoxLinkCopies = max(x.result.MaxBoxLinkCopies, float64(bytes-before[id])/float64(x.cfg.Size))
 	}
-	x.result.OriginCopies = float64(x.rig.Platform.Objects.Drawn()-drawn) / float64(x.cfg.Size)
+	x.result.OriginCopies = float64(x.rig.Platform.Objects.DownloadedBytes()-downloadedBefore) / float64(x.cfg.Size)
 	return nil
 }
 
-// watch samples the boxes until all that live serve.
-func (x *rollout) watch(ctx context.Context, drawn int64) {
-	ticker := time.NewTicker(waitPoll)
+// sample records a Sample per poll interval until all boxes that were not killed serve.
+func (x *rollout) sample(ctx context.Context, downloadedBefore int64) {
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for ctx.Err() == nil && time.Since(x.began) < x.cfg.Limit {
+	for ctx.Err() == nil && time.Since(x.startedAt) < x.cfg.Limit {
 		<-ticker.C
-		serving := x.rig.Serving(x.declared())
-		at := time.Since(x.began)
-		sample := Sample{At: at, Serving: serving, Chunks: x.held(), OriginBytes: x.rig.Platform.Objects.Drawn() - drawn}
+		serving := x.rig.CountServing(x.declaredDigest())
+		at := time.Since(x.startedAt)
+		sample := Sample{At: at, Serving: serving, Chunks: x.heldFraction(), OriginBytes: x.rig.Platform.Objects.DownloadedBytes() - downloadedBefore}
 		x.result.Samples = append(x.result.Samples, sample)
 		if x.cfg.Progress != nil {
 			x.cfg.Progress(sample)
 		}
-		x.note(serving, at)
-		if serving >= x.cfg.Boxes-len(x.dead) {
+		x.recordTimes(serving, at)
+		if serving >= x.cfg.Boxes-len(x.killed) {
 			x.result.AllServing = true
 			return
 		}
 	}
 }
 
-// held is the part of all chunks that the boxes hold.
-func (x *rollout) held() float64 {
+// heldFraction returns the fraction of chunks held, over all boxes.
+func (x *rollout) heldFraction() float64 {
 	var have, chunks int
 	for _, b := range x.rig.Boxes {
 		progress := b.Daemon().Transfer().Progress()
@@ -268,7 +266,7 @@
 	return float64(have) / float64(max(1, chunks))
 }
 
-func (x *rollout) note(serving int, at time.Duration) {
+func (x *rollout) recordTimes(serving int, at time.Duration) {
 	if serving >= 1 && x.result.TimeToFirst == 0 {
 		x.result.TimeToFirst = at.Seconds()
 	}
@@ -303,45 +301,45 @@
 	return bytes
 }
 
-func (x *rollout) has(fault string) bool { return slices.Contains(x.cfg.Faults, fault) }
+func (x *rollout) hasFault(fault string) bool { return slices.Contains(x.cfg.Faults, fault) }
 
-// startFaults causes the faults asked for while the rollout runs; the function it returns ends them.
+// startFaults schedules the configured faults; the returned function stops them.
 func (x *rollout) startFaults(ctx context.Context) func() {
 	boxes := x.rig.Boxes
 	at := func(share float64) time.Duration { return time.Duration(share * float64(x.cfg.Window)) }
 	var timers []*time.Timer
-	later := func(share float64, do func()) { timers = append(timers, time.AfterFunc(at(share), do)) }
-	if x.has(FaultCorrupt) {
+	schedule := func(share float64, do func()) { timers = append(timers, time.AfterFunc(at(share), do)) }
+	if x.hasFault(FaultCorrupt) {
 		for i := 0; i < len(boxes); i += 10 {
 			boxes[i].Link.SetCorrupt(corruptShare, x.cfg.ChunkSize)
 		}
 	}
-	if x.has(FaultStall) {
+	if x.hasFault(FaultStall) {
 		for i := 3; i < len(boxes); i += 20 {
-			later(0.1+0.5*float64(i)/float64(len(boxes)), func() { boxes[i].Link.Stall(x.cfg.Window / 10) })
+			schedule(0.1+0.5*float64(i)/float64(len(boxes)), func() { boxes[i].Link.Stall(x.cfg.Window / 10) })
 		}
 	}
-	if x.has(FaultDie) {
+	if x.hasFault(FaultDie) {
 		for i := 7; i < len(boxes); i += 50 {
-			x.dead[boxes[i].ID] = true
-			later(0.3, func() {
+			x.killed[boxes[i].ID] = true
+			schedule(0.3, func() {
 				boxes[i].Kill()
 				x.rig.Platform.Live.Remove(boxes[i].ID)
 			})
 		}
 	}
-	if x.has(FaultCut) {
+	if x.hasFault(FaultCut) {
 		for i := 5; i < len(boxes); i += 10 {
-			later(0.2, func() { boxes[i].Link.Cut(true) })
-			later(0.3, func() { boxes[i].Link.Cut(false) })
+			schedule(0.2, func() { boxes[i].Link.SetDown(true) })
+			schedule(0.3, func() { boxes[i].Link.SetDown(false) })
 		}
 	}
-	if x.has(FaultOutage) {
+	if x.hasFault(FaultOutage) {
 		x.rig.Platform.Table.Faults.SetOut(true)
-		later(2, func() { x.rig.Platform.Table.Faults.SetOut(false) })
+		schedule(2, func() { x.rig.Platform.Table.Faults.SetOut(false) })
 	}
-	if x.has(FaultNewVersion) {
-		later(0.25, func() {
+	if x.hasFault(FaultNewVersion) {
+		schedule(0.25, func() {
 			if err := x.declare(ctx, "v2", x.cfg.Size, x.cfg.Seed+1); err == nil {
 				x.result.Faults += " (new version at a quarter of the window)"
 			}
@@ -373,29 +371,29 @@
 
 // liveLoad sends small chat requests while a rollout runs and checks the answers.
 type liveLoad struct {
-	mu       sync.Mutex
-	idle     hdrhistogram.Histogram
-	busy     hdrhistogram.Histogram
-	requests atomic.Int64
-	failed   atomic.Int64
-	mixed    atomic.Int64
-	partial  atomic.Int64
-	wholes   sync.Map
+	mu               sync.Mutex
+	idle             hdrhistogram.Histogram
+	busy             hdrhistogram.Histogram
+	requests         atomic.Int64
+	failed           atomic.Int64
+	mixed            atomic.Int64
+	partial          atomic.Int64
+	publishedDigests sync.Map
 }
 
-// published notes the digest of whole weights: an answer from any other was given from partial ones.
-func (l *liveLoad) published(whole string) { l.wholes.Store(whole, true) }
+// addPublished records a published digest; an answer with any other digest came from partial weights.
+func (l *liveLoad) addPublished(digest string) { l.publishedDigests.Store(digest, true) }
 
 const (
-	liveTokens     = 8
-	liveHighest    = int64(time.Minute / time.Microsecond)
-	livePrecision  = 3
-	liveTimeout    = time.Minute
-	p99            = 99
-	microsPerMilli = 1000
+	liveTokens       = 8
+	maxLatencyMicros = int64(time.Minute / time.Microsecond)
+	latencyDigits    = 3
+	liveTimeout      = time.Minute
+	p99              = 99
+	microsPerMilli   = 1000
 )
 
-func (l *liveLoad) run(rig *Rig, perSecond float64, d time.Duration, into *hdrhistogram.Histogram) {
+func (l *liveLoad) runFor(rig *Rig, perSecond float64, d time.Duration, into *hdrhistogram.Histogram) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	l.runUntil(ctx, rig, perSecond, into)
@@ -403,7 +401,7 @@
 
 func (l *liveLoad) runUntil(ctx context.Context, rig *Rig, perSecond float64, into *hdrhistogram.Histogram) {
 	l.mu.Lock()
-	*into = *hdrhistogram.New(1, liveHighest, livePrecision)
+	*into = *hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
 	l.mu.Unlock()
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / perSecond))
 	defer ticker.Stop()
@@ -417,23 +415,23 @@
 		case <-ticker.C:
 		}
 		n := l.requests.Add(1)
-		sent.Go(func() { l.one(caller, n, into) })
+		sent.Go(func() { l.sendOne(caller, n, into) })
 	}
 }
 
-func (l *liveLoad) one(caller *Caller, n int64, into *hdrhistogram.Histogram) {
+func (l *liveLoad) sendOne(caller *Caller, n int64, into *hdrhistogram.Histogram) {
 	ctx, cancel := context.WithTimeout(context.Background(), liveTimeout)
 	defer cancel()
 	id := fmt.Sprintf("live-%d", n)
 	begin := time.Now()
-	answer, err := caller.Chat(ctx, ChatCall{Service: RigService, Prompt: id, Tokens: liveTokens, Stream: n%2 == 0, ID: id})
+	answer, err := caller.Chat(ctx, ChatCall{Service: RigService, Prompt: id, MaxTokens: liveTokens, Stream: n%2 == 0, ID: id})
 	switch {
-	case isWrong(err):
+	case isWrongAnswer(err):
 		l.mixed.Add(1)
 	case err != nil || answer.Status != 200:
 		l.failed.Add(1)
 	default:
-		if _, whole := l.wholes.Load(answer.Digest); !whole {
+		if _, published := l.publishedDigests.Load(answer.Digest); !published {
 			l.partial.Add(1)
 		}
 	}
--- a/lab/judge.go
+++ b/lab/summary.go
@@ -14,8 +14,8 @@
 	p95 = 95
 )
 
-// judge compares what the callers saw with what the stand-ins recorded.
-func (d *drive) judge(capacity float64, took time.Duration) DriveResult {
+// summarize compares the callers' outcomes with the runs that the fakes recorded.
+func (d *drive) summarize(capacity float64, took time.Duration) DriveResult {
 	result := DriveResult{
 		Policy: d.cfg.Policy, Faults: strings.Join(d.cfg.Faults, ","), Seed: d.cfg.Seed, Sent: len(d.outcomes),
 		CapacityRPS: capacity, InvariantsBroken: len(d.rig.Checks.Broken()),
@@ -23,24 +23,24 @@
 	for _, broken := range d.rig.Checks.Broken() {
 		result.Broken = append(result.Broken, broken.Error())
 	}
-	runs := d.runs()
-	all, first, refusals, gaps := histogram(), histogram(), histogram(), histogram()
+	runs := d.totalRuns()
+	all, first, refusals, gaps := newHistogram(), newHistogram(), newHistogram(), newHistogram()
 	good, goodAll, small, smallGood := 0, 0, 0, 0
 	for _, o := range d.outcomes {
-		d.count(&result, o, runs[o.id])
+		d.countOutcome(&result, o, runs[o.id])
 		if o.team > 0 {
 			small++
 		}
 		switch {
-		case refused(o):
-			record(refusals, o.took)
+		case isRefusal(o):
+			recordDuration(refusals, o.took)
 		case o.err == nil && o.answer.Status == http.StatusOK:
-			record(all, o.took)
+			recordDuration(all, o.took)
 			if !o.once {
-				record(first, o.answer.First)
+				recordDuration(first, o.answer.TimeToFirstToken)
 			}
 			if o.answer.Tokens > 1 {
-				record(gaps, (o.took-o.answer.First)/time.Duration(o.answer.Tokens-1))
+				recordDuration(gaps, (o.took-o.answer.TimeToFirstToken)/time.Duration(o.answer.Tokens-1))
 			}
 			if o.took <= driveTimeout {
 				goodAll++
@@ -58,27 +58,26 @@
 	seconds := max(took.Seconds(), d.cfg.Duration.Seconds())
 	result.GoodputRPS = float64(goodAll) / seconds
 	result.GoodputRatio = float64(good) / seconds / capacity
-	result.TTFTP50, result.TTFTP95 = millis(first, p50), millis(first, p95)
-	result.ITLP95, result.P99, result.RefusalP99 = millis(gaps, p95), millis(all, p99), millis(refusals, p99)
+	result.TTFTP50, result.TTFTP95 = quantileMillis(first, p50), quantileMillis(first, p95)
+	result.ITLP95, result.P99, result.RefusalP99 = quantileMillis(gaps, p95), quantileMillis(all, p99), quantileMillis(refusals, p99)
 	if small > 0 {
 		result.SmallTeamGoodput = float64(smallGood) / float64(small)
 	}
 	return result
 }
 
-// count adds one outcome to the result's counts.
-func (d *drive) count(result *DriveResult, o outcome, runs int) {
-	var cut *CutAnswerError
+func (d *drive) countOutcome(result *DriveResult, o outcome, runs int) {
+	var truncated *TruncatedAnswerError
 	switch {
-	case isWrong(o.err):
+	case isWrongAnswer(o.err):
 		result.WrongAnswers++
-	case errors.As(o.err, &cut):
+	case errors.As(o.err, &truncated):
 		result.CutAnswers++
 	case o.err != nil:
 		result.Unknown++
 	case o.answer.Status == http.StatusOK:
 		result.Answered++
-	case refused(o):
+	case isRefusal(o):
 		result.RefusedNotRun++
 		if runs > 0 {
 			result.RanAfterNotRun++
@@ -91,8 +90,8 @@
 	}
 }
 
-// runs adds up what all stand-ins recorded.
-func (d *drive) runs() map[string]int {
+// totalRuns sums the runs of all upstreams, by request ID.
+func (d *drive) totalRuns() map[string]int {
 	total := make(map[string]int)
 	for _, b := range d.rig.Boxes {
 		counts := make(map[string]int)
@@ -109,14 +108,14 @@
 	return total
 }
 
-func refused(o outcome) bool {
+func isRefusal(o outcome) bool {
 	return o.err == nil && o.answer.Status != http.StatusOK && o.answer.Outcome == "not-run"
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(1, d.Microseconds()))
 }
 
-func millis(h *hdrhistogram.Histogram, quantile float64) float64 {
+func quantileMillis(h *hdrhistogram.Histogram, quantile float64) float64 {
 	return float64(h.ValueAtQuantile(quantile)) / microsPerMilli
 }
--- a/lab/table.go
+++ b/lab/table.go
@@ -17,7 +17,7 @@
 	jsonType     = "application/x-amz-json-1.0"
 )
 
-// Table stands in for the table service: the few calls and conditions that the platform package sends.
+// Table is a fake table service with the calls and conditions that package dynamo uses.
 type Table struct {
 	Faults Faults
 
@@ -29,10 +29,10 @@
 	tokens map[string]bool
 }
 
-// item is a row as the wire has it.
+// item is a row in its wire format.
 type item map[string]attribute
 
-// attribute is a typed value as the wire has it; binary values stay base64 text.
+// attribute is a typed value in its wire format; binary values stay base64 text.
 type attribute struct {
 	S *string `json:"S,omitempty"`
 	N *string `json:"N,omitempty"`
@@ -64,14 +64,14 @@
 	Code string
 }
 
-// Counts returns how many rows were read and written.
+// Counts returns the number of rows read and written.
 func (t *Table) Counts() (reads, writes int64) {
 	return t.reads.Load(), t.writes.Load()
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call, named by the X-Amz-Target header.
 func (t *Table) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if t.Faults.refuse(w) {
+	if t.Faults.serveFault(w) {
 		return
 	}
 	call := strings.TrimPrefix(r.Header.Get(targetHeader), targetPrefix)
@@ -91,17 +91,17 @@
 	}
 }
 
-func (t *Table) applies(put putRequest) bool {
-	old, there := t.rows[put.Item.text("pk")][put.Item.text("sk")]
+func (t *Table) conditionHolds(put putRequest) bool {
+	old, exists := t.rows[put.Item.text("pk")][put.Item.text("sk")]
 	switch put.ConditionExpression {
 	case "":
 		return true
 	case "attribute_not_exists(pk)":
-		return !there
+		return !exists
 	case "num = :num":
-		return there && old.number("num") == put.ExpressionAttributeValues.number(":num")
+		return exists && old.number("num") == put.ExpressionAttributeValues.number(":num")
 	case "attribute_not_exists(pk) OR num < :num":
-		return !there || old.number("num") < put.ExpressionAttributeValues.number(":num")
+		return !exists || old.number("num") < put.ExpressionAttributeValues.number(":num")
 	default:
 		return false
 	}
@@ -118,7 +118,7 @@
 func (t *Table) put(w http.ResponseWriter, req putRequest) {
 	t.writes.Add(1)
 	t.mu.Lock()
-	ok := t.applies(req)
+	ok := t.conditionHolds(req)
 	if ok {
 		t.store(req.Item)
 	}
@@ -127,7 +127,7 @@
 		writeError(w, "ConditionalCheckFailedException", nil)
 		return
 	}
-	t.answer(w)
+	t.confirmWrite(w)
 }
 
 func (t *Table) query(w http.ResponseWriter, req queryRequest) {
@@ -159,7 +159,7 @@
 	t.mu.Lock()
 	delete(t.rows[req.Key.text("pk")], req.Key.text("sk"))
 	t.mu.Unlock()
-	t.answer(w)
+	t.confirmWrite(w)
 }
 
 func (t *Table) store(row item) {
@@ -182,7 +182,7 @@
 		writeError(w, "TransactionCanceledException", reasons)
 		return
 	}
-	t.answer(w)
+	t.confirmWrite(w)
 }
 
 func (t *Table) transactLocked(req transactRequest) ([]cancelReason, bool) {
@@ -193,7 +193,7 @@
 	ok := true
 	for _, each := range req.TransactItems {
 		reason := cancelReason{Code: "None"}
-		if !t.applies(each.Put) {
+		if !t.conditionHolds(each.Put) {
 			reason.Code = "ConditionalCheckFailed"
 			ok = false
 		}
@@ -212,9 +212,9 @@
 	return nil, true
 }
 
-// answer confirms a write, unless its answer is to be lost.
-func (t *Table) answer(w http.ResponseWriter) {
-	if t.Faults.loses() {
+// confirmWrite confirms a write, unless its response is to be lost.
+func (t *Table) confirmWrite(w http.ResponseWriter) {
+	if t.Faults.dropResponse() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/lab/tracing_test.go
+++ b/lab/tracing_test.go
@@ -14,7 +14,7 @@
 	"github.com/coralstair/coralstair/tracing"
 )
 
-// collector stands in for an OTLP collector: it keeps the names of the spans of each trace.
+// collector is a fake OTLP collector that records the span names of each trace.
 type collector struct {
 	mu    sync.Mutex
 	spans map[string]map[string]bool
@@ -44,7 +44,7 @@
 	}
 }
 
-// has reports whether one trace has all the spans.
+// has reports whether a single trace has all the spans.
 func (c *collector) has(names ...string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 	return false
 }
 
-// TestTraces: a request has a span for each hop in one trace, and a rollout has spans of its own.
+// TestTraces checks that a request has one trace with a span per hop, and that a rollout has its own spans.
 func TestTraces(t *testing.T) {
 	c := &collector{spans: make(map[string]map[string]bool)}
 	server := httptest.NewServer(c)
