--- a/internal/labcmd/shortagecmd.go
+++ b/internal/labcmd/shortagecmd.go
@@ -37,16 +37,16 @@
 		return &UsageError{Reason: "shortage takes at least one seed and a load above 0"}
 	}
 	means := shortage.Compare(cmd.Int("seeds"), func(seed uint64) shortage.Params {
-		p := shortage.Usual(seed, cmd.Float("load"))
+		p := shortage.DefaultParams(seed, cmd.Float("load"))
 		if jam := cmd.Float("jam"); jam > 0 {
-			p.BusyFrom, p.BusyTo, p.Busy = jamFrom, jamTo, jam
+			p.BurstStart, p.BurstEnd, p.BurstFactor = jamFrom, jamTo, jam
 		}
 		return p
 	})
 	w := tabwriter.NewWriter(c.stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "way\tworth\tworst kind\tin time\tlate\trefused\trefused again")
 	for _, m := range means {
-		_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\n", m.Way, m.All, m.Worst, m.InTime, m.Late, m.Refused, m.RefusedAgain)
+		_, _ = fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\n", m.Strategy, m.Value, m.WorstValue, m.InTime, m.Late, m.Refused, m.RefusedAgain)
 	}
 	return w.Flush()
 }
--- a/lab/shortage/doc.go
+++ b/lab/shortage/doc.go
@@ -1,4 +1,4 @@
-// Package shortage plays callers, entries and model engines in virtual time, with
-// more requests than the engines can serve, to compare ways of letting requests
-// in. The same seed plays the same callers against each way.
+// Package shortage simulates callers, entries and overloaded model engines in
+// virtual time to compare admission strategies. With the same seed every strategy
+// gets the same requests.
 package shortage
--- a/lab/shortage/engine.go
+++ b/lab/shortage/engine.go
@@ -7,72 +7,72 @@
 	"github.com/coralstair/coralstair/engine"
 )
 
-// job is one try at a server.
-type job struct {
-	caller *caller
-	unread int
-	left   int
+// attempt is one admitted request at a server, with the tokens still to read and to write.
+type attempt struct {
+	caller        *caller
+	prefillTokens int
+	answerTokens  int
 }
 
-// server works in passes: some prompt is read, then all that write get some tokens.
+// server simulates an engine with batched passes: each reads a bounded number of prompt tokens, then decodes tokens for the others.
 type server struct {
 	engine  *contract.Engine
-	waiting []*job
-	slots   []*job
+	waiting []*attempt
+	slots   []*attempt
 	working bool
 }
 
-// size returns how many requests are there.
+// size returns the number of queued and running requests.
 func (s *server) size() int { return len(s.waiting) + len(s.slots) }
 
-// load returns what is there as a box reports it: those that get tokens, and those that wait for their first.
+// load returns the load as a box reports it; queued requests count as prefilling.
 func (s *server) load() engine.Load {
 	load := engine.Load{}
-	for _, j := range s.slots {
-		if j.unread > 0 {
+	for _, a := range s.slots {
+		if a.prefillTokens > 0 {
 			load.Reading++
-			load.Unread += j.unread
+			load.Unread += a.prefillTokens
 		} else {
 			load.Writing++
 		}
 	}
 	load.Reading += len(s.waiting)
-	for _, j := range s.waiting {
-		load.Unread += j.unread
+	for _, a := range s.waiting {
+		load.Unread += a.prefillTokens
 	}
 	return load
 }
 
-// pass begins a pass and returns how long it takes, with those that get their first event at its end.
-func (s *server) pass() (takes time.Duration, first []*job) {
+// startPass starts a pass and returns its duration and the attempts whose first event comes at its end.
+func (s *server) startPass() (duration time.Duration, first []*attempt) {
 	for len(s.slots) < s.engine.Slots && len(s.waiting) > 0 {
 		s.slots = append(s.slots, s.waiting[0])
 		s.waiting = s.waiting[1:]
 	}
-	room, read, writing := s.engine.Chunk, 0, 0
-	for _, j := range s.slots {
-		if j.unread == 0 {
-			writing++
-			j.left -= s.engine.Stride
+	budget, read, decoding := s.engine.Chunk, 0, 0
+	for _, a := range s.slots {
+		if a.prefillTokens == 0 {
+			decoding++
+			a.answerTokens -= s.engine.Stride
 			continue
 		}
-		n := min(j.unread, room)
-		j.unread -= n
-		room -= n
+		n := min(a.prefillTokens, budget)
+		a.prefillTokens -= n
+		budget -= n
 		read += n
-		if j.unread == 0 {
-			first = append(first, j)
+		if a.prefillTokens == 0 {
+			first = append(first, a)
 		}
 	}
-	return engine.Read(s.engine, read, 1) + time.Duration(s.engine.Stride)*engine.Step(s.engine, writing+len(first)), first
+	return engine.Read(s.engine, read, 1) + time.Duration(s.engine.Stride)*engine.Step(s.engine, decoding+len(first)), first
 }
 
-// finish takes out what is answered; it reports whether anything is left to do.
-func (s *server) finish() bool {
+// removeDone removes completed attempts and reports whether any work is left.
+func (s *server) removeDone() bool {
 	kept := s.slots[:0]
-	for _, j := range s.slots {
-		if j.unread > 0 || j.left > 0 {
-			kept = append(kept, j)
+	for _, a := range s.slots {
+		if a.prefillTokens > 0 || a.answerTokens > 0 {
+			kept = append(kept, a)
 		}
 	}
 	s.slots = kept
--- a/lab/shortage/longest.go
+++ b/lab/shortage/longest.go
@@ -6,26 +6,26 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// returnAfter is how much less a caller still waits than others of its kind that counts as a return.
-const returnAfter = 50 * time.Millisecond
+// retryThreshold is how far a remaining timeout must be below the longest of its kind to count as a retry.
+const retryThreshold = 50 * time.Millisecond
 
-// byLongestWait lets tries in as entries do, but takes those for returns whose callers still wait less than the longest of their
-// kind: right where all callers are equally patient.
-type byLongestWait struct {
-	byPolicy
+// longestWait admits by the entries' policy, but detects retries by a remaining timeout below the longest of the kind. That
+// is exact only if all callers of a kind have the same timeout.
+type longestWait struct {
+	admissionPolicy
 	longest map[string]time.Duration
 }
 
-func (w *byLongestWait) letIn(e *contract.Engine, c *caller, o offer, now time.Duration) bool {
-	if w.longest == nil {
-		w.longest = make(map[string]time.Duration)
+func (s *longestWait) admit(e *contract.Engine, c *caller, p placement, now time.Duration) bool {
+	if s.longest == nil {
+		s.longest = make(map[string]time.Duration)
 	}
-	wait := c.patience - (now - c.began)
-	longest := max(w.longest[c.kind.Name], wait)
-	w.longest[c.kind.Name] = longest
-	waited := longest - wait
-	if waited <= returnAfter {
+	remaining := c.timeout - (now - c.firstTry)
+	longest := max(s.longest[c.kind.Name], remaining)
+	s.longest[c.kind.Name] = longest
+	waited := longest - remaining
+	if waited <= retryThreshold {
 		waited = 0
 	}
-	return w.judge(e, c, o, waited, now)
+	return s.admitAfter(e, c, p, waited, now)
 }
--- a/lab/shortage/many_test.go
+++ b/lab/shortage/many_test.go
@@ -2,16 +2,16 @@
 
 import "testing"
 
-// TestWideSpreadWithManyEntries proves that where many entries see the same servers late, callers fare better when choices are spread
-// over more than what is sent unseen.
+// TestWideSpreadWithManyEntries checks that with many entries and late load reports, spreading choices over a longer window
+// than the age of the reports gains value.
 func TestWideSpreadWithManyEntries(t *testing.T) {
-	const seeds, least = 3, 0.02
-	of := make(map[string]Mean)
-	for _, mean := range Compare(seeds, func(seed uint64) Params { return Many(seed, 1) }) {
-		of[mean.Way] = mean
-		t.Logf("%-16s %.3f, in time %.2f, late %.2f, refused %.2f", mean.Way, mean.All, mean.InTime, mean.Late, mean.Refused)
+	const seeds, minGain = 3, 0.02
+	means := make(map[string]Mean)
+	for _, mean := range Compare(seeds, func(seed uint64) Params { return ManyEntriesParams(seed, 1) }) {
+		means[mean.Strategy] = mean
+		t.Logf("%-16s %.3f, in time %.2f, late %.2f, refused %.2f", mean.Strategy, mean.Value, mean.InTime, mean.Late, mean.Refused)
 	}
-	if gain := of["spread wider"].All - of["spread"].All; gain < least {
-		t.Errorf("worth %+.3f against the narrow spread, want at least %+.3f", gain, least)
+	if gain := means["spread wider"].Value - means["spread"].Value; gain < minGain {
+		t.Errorf("value %+.3f against the narrow spread, want at least %+.3f", gain, minGain)
 	}
 }
--- a/lab/shortage/play.go
+++ b/lab/shortage/play.go
@@ -9,69 +9,69 @@
 	"github.com/coralstair/coralstair/engine"
 )
 
-// Kind is a kind of request.
+// Kind is a class of requests.
 type Kind struct {
 	Name string
-	// Goal is the time within which a first event is in time, Wait how long callers wait.
-	Goal, Wait     time.Duration
-	Worth          float64
+	// Goal is the target for the time to the first event, Timeout how long callers wait for it.
+	Goal, Timeout  time.Duration
+	Value          float64
 	Prompt, Answer int
-	// PerSecond is how many come a second.
-	PerSecond float64
+	// Rate is in requests per second.
+	Rate float64
 }
 
-// Params are what is played.
+// Params configure a simulation.
 type Params struct {
 	Engine  *contract.Engine
 	Servers int
 	Entries int
 	Kinds   []Kind
-	// For is how long callers come; from BusyFrom to BusyTo they come Busy times as often.
-	For, BusyFrom, BusyTo time.Duration
-	Busy                  float64
-	// Patience is by what part callers' waits differ: between the kind's and that much less.
-	Patience float64
-	Seed     uint64
+	// Duration is how long requests arrive; from BurstStart to BurstEnd their rate is multiplied by BurstFactor.
+	Duration, BurstStart, BurstEnd time.Duration
+	BurstFactor                    float64
+	// TimeoutSpread is the largest fraction by which a caller's timeout is below its kind's.
+	TimeoutSpread float64
+	Seed          uint64
 }
 
-// The times of entries and callers.
+// Behaviour of entries and callers.
 const (
-	// reportEvery is how often entries hear what is at the servers.
-	reportEvery = 100 * time.Millisecond
-	// comeBack and comeBackSpread are when a refused caller returns, once.
-	comeBack       = 400 * time.Millisecond
-	comeBackSpread = 900 * time.Millisecond
-	// lateWorth is the part of a request's worth that a late answer earns, refusedAgain what a second refusal costs.
-	lateWorth    = 0.25
-	refusedAgain = 0.3
-	// mostSize bounds a request's size as a multiple of the usual one.
-	mostSize = 3.0
+	// reportInterval is the interval at which entries receive the servers' loads.
+	reportInterval = 100 * time.Millisecond
+	// retryDelay and retryJitter are the delay of a refused caller's only retry.
+	retryDelay  = 400 * time.Millisecond
+	retryJitter = 900 * time.Millisecond
+	// lateValue is the fraction of a request's value for a late answer, refusedAgainCost the fraction lost by a second refusal.
+	lateValue        = 0.25
+	refusedAgainCost = 0.3
+	// maxSize bounds a request's size, as a multiple of the usual size.
+	maxSize = 3.0
 )
 
-// Tally is what became of one kind's requests.
+// Tally counts the outcomes of one kind's requests.
 type Tally struct {
-	Asked, InTime, Late, Refused, Returns, RefusedAgain int
-	owed, earned                                        float64
+	Requests, InTime, Late, Refused, Retries, RefusedAgain int
+	maxValue, value                                        float64
 }
 
-// Worth returns what was earned of what was owed.
-func (t Tally) Worth() float64 {
-	if t.owed == 0 {
+// ValueRatio returns the fraction of the total value that was gained; 0 without requests.
+func (t Tally) ValueRatio() float64 {
+	if t.maxValue == 0 {
 		return 0
 	}
-	return t.earned / t.owed
+	return t.value / t.maxValue
 }
 
-// caller is one request, from its first try.
+// caller is the caller of one request.
 type caller struct {
-	kind   *Kind
-	entry  int
-	prompt int
-	answer int
-	began  time.Duration
-	// patience is how long it waits from its first try on.
-	patience time.Duration
-	returns  bool
+	kind     *Kind
+	entry    int
+	prompt   int
+	answer   int
+	firstTry time.Duration
+	// timeout counts from the first try.
+	timeout time.Duration
+	retried bool
 }
 
 type event struct {
@@ -88,10 +88,10 @@
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
-// Push adds an event for package heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last event for package heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	old := *e
 	last := old[len(old)-1]
@@ -99,149 +99,148 @@
 	return last
 }
 
-// world is one play.
-type world struct {
-	params  Params
-	rand    *rand.Rand
-	now     time.Duration
-	queue   events
-	count   int
-	servers []*server
-	ways    []Way
-	// seen is what boxes last reported, sent what each entry has sent to each server since.
-	seen  []engine.Load
-	sent  [][]engine.Load
-	tally map[string]*Tally
-}
-
-// Play plays a way and returns what became of each kind's requests.
-func Play(params Params, way func() Way) map[string]Tally {
-	w := &world{params: params, rand: rand.New(rand.NewPCG(params.Seed, 0)), tally: make(map[string]*Tally)}
+type simulation struct {
+	params     Params
+	rand       *rand.Rand
+	now        time.Duration
+	queue      events
+	count      int
+	servers    []*server
+	strategies []Strategy
+	// reported is the load last reported by each server, sent the load added since by each entry.
+	reported []engine.Load
+	sent     [][]engine.Load
+	tally    map[string]*Tally
+}
+
+// Simulate runs a simulation with a strategy per entry and returns the outcomes by kind.
+func Simulate(params Params, newStrategy func() Strategy) map[string]Tally {
+	sim := &simulation{params: params, rand: rand.New(rand.NewPCG(params.Seed, 0)), tally: make(map[string]*Tally)}
 	for range params.Servers {
-		w.servers = append(w.servers, &server{engine: params.Engine})
+		sim.servers = append(sim.servers, &server{engine: params.Engine})
 	}
 	for range params.Entries {
-		w.ways = append(w.ways, way())
+		sim.strategies = append(sim.strategies, newStrategy())
 	}
-	w.report()
+	sim.reportLoads()
 	for i := range params.Kinds {
 		kind := &params.Kinds[i]
-		w.tally[kind.Name] = &Tally{}
-		w.arrive(kind, rand.New(rand.NewPCG(params.Seed, uint64(i)+1)))
+		sim.tally[kind.Name] = &Tally{}
+		sim.arrive(kind, rand.New(rand.NewPCG(params.Seed, uint64(i)+1)))
 	}
-	for len(w.queue) > 0 {
-		next := heap.Pop(&w.queue).(event)
-		w.now = next.at
+	for len(sim.queue) > 0 {
+		next := heap.Pop(&sim.queue).(event)
+		sim.now = next.at
 		next.do()
 	}
-	tallies := make(map[string]Tally, len(w.tally))
-	for name, t := range w.tally {
+	tallies := make(map[string]Tally, len(sim.tally))
+	for name, t := range sim.tally {
 		tallies[name] = *t
 	}
 	return tallies
 }
 
-func (w *world) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, event{w.now + d, w.count, do})
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.count++
+	heap.Push(&sim.queue, event{sim.now + d, sim.count, do})
 }
 
-// arrive has a kind's callers come; what they ask does not depend on the way that is played.
-func (w *world) arrive(kind *Kind, r *rand.Rand) {
-	rate := kind.PerSecond
-	if w.now >= w.params.BusyFrom && w.now < w.params.BusyTo {
-		rate *= w.params.Busy
+// arrive creates one request of a kind and schedules the next; its random numbers do not depend on the strategy.
+func (sim *simulation) arrive(kind *Kind, r *rand.Rand) {
+	rate := kind.Rate
+	if sim.now >= sim.params.BurstStart && sim.now < sim.params.BurstEnd {
+		rate *= sim.params.BurstFactor
 	}
-	size := min(r.ExpFloat64(), mostSize)
+	size := min(r.ExpFloat64(), maxSize)
 	c := &caller{
-		kind: kind, entry: r.IntN(w.params.Entries), began: w.now,
+		kind: kind, entry: r.IntN(sim.params.Entries), firstTry: sim.now,
 		prompt: 1 + int(size*float64(kind.Prompt)), answer: 1 + int(size*float64(kind.Answer)),
 	}
-	c.patience = kind.Wait - time.Duration(w.params.Patience*r.Float64()*float64(kind.Wait))
-	w.tally[kind.Name].Asked++
-	w.tally[kind.Name].owed += kind.Worth
-	w.try(c)
-	if next := time.Duration(r.ExpFloat64() / rate * float64(time.Second)); w.now+next < w.params.For {
-		w.after(next, func() { w.arrive(kind, r) })
+	c.timeout = kind.Timeout - time.Duration(sim.params.TimeoutSpread*r.Float64()*float64(kind.Timeout))
+	sim.tally[kind.Name].Requests++
+	sim.tally[kind.Name].maxValue += kind.Value
+	sim.place(c)
+	if next := time.Duration(r.ExpFloat64() / rate * float64(time.Second)); sim.now+next < sim.params.Duration {
+		sim.after(next, func() { sim.arrive(kind, r) })
 	}
 }
 
-// report has all entries hear what is at the servers.
-func (w *world) report() {
-	w.seen = make([]engine.Load, len(w.servers))
-	for i, s := range w.servers {
-		w.seen[i] = s.load()
+// reportLoads updates the loads known to all entries.
+func (sim *simulation) reportLoads() {
+	sim.reported = make([]engine.Load, len(sim.servers))
+	for i, s := range sim.servers {
+		sim.reported[i] = s.load()
 	}
-	w.sent = make([][]engine.Load, w.params.Entries)
-	for i := range w.sent {
-		w.sent[i] = make([]engine.Load, len(w.servers))
+	sim.sent = make([][]engine.Load, sim.params.Entries)
+	for i := range sim.sent {
+		sim.sent[i] = make([]engine.Load, len(sim.servers))
 	}
-	if w.now < w.params.For {
-		w.after(reportEvery, w.report)
+	if sim.now < sim.params.Duration {
+		sim.after(reportInterval, sim.reportLoads)
 	}
 }
 
-// try has a caller's entry let it in or refuse it.
-func (w *world) try(c *caller) {
-	loads := make([]engine.Load, len(w.servers))
-	for i, load := range w.seen {
-		load.Reading += w.sent[c.entry][i].Reading
-		load.Unread += w.sent[c.entry][i].Unread
+// place lets the caller's entry admit the request to a server or refuse it.
+func (sim *simulation) place(c *caller) {
+	loads := make([]engine.Load, len(sim.servers))
+	for i, load := range sim.reported {
+		load.Reading += sim.sent[c.entry][i].Reading
+		load.Unread += sim.sent[c.entry][i].Unread
 		loads[i] = load
 	}
-	way := w.ways[c.entry]
-	o := way.choose(w.params.Engine, loads, c.prompt)
-	if !way.letIn(w.params.Engine, c, o, w.now) {
-		w.refuse(c)
+	strategy := sim.strategies[c.entry]
+	target := strategy.choose(sim.params.Engine, loads, c.prompt)
+	if !strategy.admit(sim.params.Engine, c, target, sim.now) {
+		sim.scheduleRetry(c)
 		return
 	}
-	sent := &w.sent[c.entry][o.server]
+	sent := &sim.sent[c.entry][target.server]
 	sent.Reading++
 	sent.Unread += c.prompt
-	s := w.servers[o.server]
-	s.waiting = append(s.waiting, &job{caller: c, unread: c.prompt, left: c.answer})
+	s := sim.servers[target.server]
+	s.waiting = append(s.waiting, &attempt{caller: c, prefillTokens: c.prompt, answerTokens: c.answer})
 	if !s.working {
-		w.work(s)
+		sim.runPasses(s)
 	}
 }
 
-// refuse has a caller return once, to another entry.
-func (w *world) refuse(c *caller) {
-	t := w.tally[c.kind.Name]
-	if c.returns {
+// scheduleRetry handles a refusal: the caller retries once, at a random entry.
+func (sim *simulation) scheduleRetry(c *caller) {
+	t := sim.tally[c.kind.Name]
+	if c.retried {
 		t.RefusedAgain++
-		t.earned -= refusedAgain * c.kind.Worth
+		t.value -= refusedAgainCost * c.kind.Value
 		return
 	}
 	t.Refused++
-	t.Returns++
-	c.returns = true
-	c.entry = w.rand.IntN(w.params.Entries)
-	w.after(comeBack+time.Duration(w.rand.Int64N(int64(comeBackSpread))), func() { w.try(c) })
+	t.Retries++
+	c.retried = true
+	c.entry = sim.rand.IntN(sim.params.Entries)
+	sim.after(retryDelay+time.Duration(sim.rand.Int64N(int64(retryJitter))), func() { sim.place(c) })
 }
 
-// work plays a server's passes as long as it has anything to do.
-func (w *world) work(s *server) {
+// runPasses runs the server's passes until it has no work left.
+func (sim *simulation) runPasses(s *server) {
 	s.working = true
-	takes, first := s.pass()
-	w.after(takes, func() {
-		for _, j := range first {
-			w.begun(j)
+	duration, first := s.startPass()
+	sim.after(duration, func() {
+		for _, a := range first {
+			sim.recordFirstEvent(a)
 		}
-		if s.working = s.finish(); s.working {
-			w.work(s)
+		if s.working = s.removeDone(); s.working {
+			sim.runPasses(s)
 		}
 	})
 }
 
-// begun counts a first event.
-func (w *world) begun(j *job) {
-	t := w.tally[j.caller.kind.Name]
-	if took := w.now - j.caller.began; took <= j.caller.kind.Goal {
+// recordFirstEvent counts a first event as in time or late.
+func (sim *simulation) recordFirstEvent(a *attempt) {
+	t := sim.tally[a.caller.kind.Name]
+	if took := sim.now - a.caller.firstTry; took <= a.caller.kind.Goal {
 		t.InTime++
-		t.earned += j.caller.kind.Worth
-	} else if took < j.caller.patience {
+		t.value += a.caller.kind.Value
+	} else if took < a.caller.timeout {
 		t.Late++
-		t.earned += lateWorth * j.caller.kind.Worth
+		t.value += lateValue * a.caller.kind.Value
 	}
 }
--- a/lab/shortage/spread.go
+++ b/lab/shortage/spread.go
@@ -9,27 +9,27 @@
 	"github.com/coralstair/coralstair/spread"
 )
 
-// bySpread lets tries in as entries do and spreads its choice over what others send meanwhile, and over what is sent in so much more
-// time.
-type bySpread struct {
-	byPolicy
-	turns *rand.Rand
-	more  time.Duration
+// spreadChoice admits by the entries' policy and balances over the requests that other entries send before the next report,
+// and over those sent within an additional window.
+type spreadChoice struct {
+	admissionPolicy
+	rng    *rand.Rand
+	window time.Duration
 }
 
-func newBySpread(more time.Duration) Way {
-	return &bySpread{turns: rand.New(rand.NewPCG(1, 1)), more: more}
+func newSpreadChoice(window time.Duration) Strategy {
+	return &spreadChoice{rng: rand.New(rand.NewPCG(1, 1)), window: window}
 }
 
-func (w *bySpread) choose(e *contract.Engine, loads []engine.Load, prompt int) offer {
-	costs, at := make([]time.Duration, len(loads)), 0
+func (s *spreadChoice) choose(e *contract.Engine, loads []engine.Load, prompt int) placement {
+	costs, total := make([]time.Duration, len(loads)), 0
 	for i, load := range loads {
 		costs[i] = engine.First(e, load, prompt)
-		at += load.Writing + load.Reading
+		total += load.Writing + load.Reading
 	}
-	held := engine.Hold(e, engine.Load{Writing: at / len(loads)}).Seconds()
-	in := func(within time.Duration) float64 { return 1 + float64(at)*within.Seconds()/held }
-	adds := engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, e.Slots/2)
-	place, others := spread.Pick(costs, spread.Sent{Unseen: in(reportEvery / 2), Over: in(reportEvery/2 + w.more)}, adds, w.turns.Float64())
-	return offer{server: place, load: loads[place], first: costs[place] + time.Duration(others/2*float64(adds))}
+	slotTime := engine.Hold(e, engine.Load{Writing: total / len(loads)}).Seconds()
+	sentWithin := func(window time.Duration) float64 { return 1 + float64(total)*window.Seconds()/slotTime }
+	requestCost := engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, e.Slots/2)
+	index, others := spread.Pick(costs, spread.Sent{Unseen: sentWithin(reportInterval / 2), Over: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
+	return placement{server: index, load: loads[index], timeToFirst: costs[index] + time.Duration(others/2*float64(requestCost))}
 }
--- a/lab/shortage/way.go
+++ b/lab/shortage/way.go
@@ -9,97 +9,97 @@
 	"github.com/coralstair/coralstair/engine"
 )
 
-// offer is the server that an entry would send a try to, as it believes it to be.
-type offer struct {
-	server int
-	load   engine.Load
-	first  time.Duration
+// placement is a chosen server with its load and the time to the first event, as the entry estimates them.
+type placement struct {
+	server      int
+	load        engine.Load
+	timeToFirst time.Duration
 }
 
-// ahead returns what is read before a try, without what it needs itself.
-func (o offer) ahead(e *contract.Engine, prompt int) time.Duration {
-	return o.first - (engine.First(e, o.load, prompt) - engine.First(e, o.load, 1))
+// queueDelay returns the time to the first event without the prefill time of the request itself.
+func (p placement) queueDelay(e *contract.Engine, prompt int) time.Duration {
+	return p.timeToFirst - (engine.First(e, p.load, prompt) - engine.First(e, p.load, 1))
 }
 
-// Way is a way of choosing a server and of letting tries in. Each entry has one of its own.
-type Way interface {
-	choose(e *contract.Engine, loads []engine.Load, prompt int) offer
-	letIn(e *contract.Engine, c *caller, o offer, now time.Duration) bool
+// Strategy chooses a server for a request and decides on its admission; each entry has its own instance.
+type Strategy interface {
+	choose(e *contract.Engine, loads []engine.Load, prompt int) placement
+	admit(e *contract.Engine, c *caller, p placement, now time.Duration) bool
 }
 
-// errorTime is how much more time than the age of reports a wide choice is spread over, as entries do.
-const errorTime = 200 * time.Millisecond
-
-// Ways are the ways that can be compared, by name, as functions that give an entry its own.
-var Ways = map[string]func() Way{
-	"least in flight": func() Way { return leastInFlight{} },
-	"own goal":        func() Way { return ownGoal{} },
-	"admission":       func() Way { return &byPolicy{} },
-	"longest wait":    func() Way { return &byLongestWait{} },
-	"spread":          func() Way { return newBySpread(0) },
-	"spread wider":    func() Way { return newBySpread(errorTime) },
+// extraWindow is added to the age of reports for a wide spread, as entries do.
+const extraWindow = 200 * time.Millisecond
+
+// Strategies holds the constructors of all strategies by name.
+var Strategies = map[string]func() Strategy{
+	"least in flight": func() Strategy { return leastInFlight{} },
+	"own goal":        func() Strategy { return goalBased{} },
+	"admission":       func() Strategy { return &admissionPolicy{} },
+	"longest wait":    func() Strategy { return &longestWait{} },
+	"spread":          func() Strategy { return newSpreadChoice(0) },
+	"spread wider":    func() Strategy { return newSpreadChoice(extraWindow) },
 }
 
-// leastInFlight takes the server with the fewest requests, and lets in what finds room in its queue.
+// leastInFlight chooses the server with the fewest requests and admits until its queue is full.
 type leastInFlight struct{}
 
-// queueRoom is how many requests a server queues beyond its slots.
-const queueRoom = 32
+// queueLimit is the number of requests queued at a server beyond its slots.
+const queueLimit = 32
 
-func (leastInFlight) choose(_ *contract.Engine, loads []engine.Load, _ int) offer {
+func (leastInFlight) choose(_ *contract.Engine, loads []engine.Load, _ int) placement {
 	best, fewest := 0, math.MaxInt
 	for i, load := range loads {
 		if n := load.Writing + load.Reading; n < fewest {
 			best, fewest = i, n
 		}
 	}
-	return offer{server: best, load: loads[best]}
+	return placement{server: best, load: loads[best]}
 }
 
-func (leastInFlight) letIn(e *contract.Engine, _ *caller, o offer, _ time.Duration) bool {
-	return o.load.Writing+o.load.Reading < e.Slots+queueRoom
+func (leastInFlight) admit(e *contract.Engine, _ *caller, p placement, _ time.Duration) bool {
+	return p.load.Writing+p.load.Reading < e.Slots+queueLimit
 }
 
-// ownGoal takes the server with the soonest first event and lets in what is read within 0.8 of the try's own goal.
-type ownGoal struct{}
+// goalBased chooses the server with the earliest first event and admits if the queue delay fits the request's goal.
+type goalBased struct{}
 
-// ownShare is the part of the own goal that may pass before a try is read.
-const ownShare = 0.8
+// goalShare is the fraction of the goal that the queue delay may use.
+const goalShare = 0.8
 
-func (ownGoal) choose(e *contract.Engine, loads []engine.Load, prompt int) offer {
-	best := offer{first: math.MaxInt64}
+func (goalBased) choose(e *contract.Engine, loads []engine.Load, prompt int) placement {
+	best := placement{timeToFirst: math.MaxInt64}
 	for i, load := range loads {
-		if first := engine.First(e, load, prompt); first < best.first {
-			best = offer{server: i, load: load, first: first}
+		if first := engine.First(e, load, prompt); first < best.timeToFirst {
+			best = placement{server: i, load: load, timeToFirst: first}
 		}
 	}
 	return best
 }
 
-func (ownGoal) letIn(e *contract.Engine, c *caller, o offer, _ time.Duration) bool {
-	return o.ahead(e, c.prompt) <= time.Duration(ownShare*float64(c.kind.Goal))
+func (goalBased) admit(e *contract.Engine, c *caller, p placement, _ time.Duration) bool {
+	return p.queueDelay(e, c.prompt) <= time.Duration(goalShare*float64(c.kind.Goal))
 }
 
-// byPolicy lets tries in as entries do, which know the requests that were refused.
-type byPolicy struct {
-	ownGoal
+// admissionPolicy admits by the entries' policy, with retries known exactly.
+type admissionPolicy struct {
+	goalBased
 	policy admission.Policy
 }
 
-// epoch is when virtual time begins, for policies that are told the time.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the start of virtual time as passed to the policy.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (w *byPolicy) letIn(e *contract.Engine, c *caller, o offer, now time.Duration) bool {
+func (s *admissionPolicy) admit(e *contract.Engine, c *caller, p placement, now time.Duration) bool {
 	waited := time.Duration(0)
-	if c.returns {
-		waited = now - c.began
+	if c.retried {
+		waited = now - c.firstTry
 	}
-	return w.judge(e, c, o, waited, now)
+	return s.admitAfter(e, c, p, waited, now)
 }
 
-// judge lets a try in that was tried first so long ago, 0 for a first try.
-func (w *byPolicy) judge(e *contract.Engine, c *caller, o offer, waited, now time.Duration) bool {
+// admitAfter applies the policy to a request first tried a duration ago; 0 means a first try.
+func (s *admissionPolicy) admitAfter(e *contract.Engine, c *caller, p placement, waited, now time.Duration) bool {
 	ask := admission.Ask{Kind: c.kind.Name, Goal: c.kind.Goal}
-	w.policy.Note(ask, epoch.Add(now))
-	return w.policy.LetIn(ask, waited, o.ahead(e, c.prompt))
+	s.policy.Note(ask, startTime.Add(now))
+	return s.policy.LetIn(ask, waited, p.queueDelay(e, c.prompt))
 }
