--- a/internal/labcmd/askcmd.go
+++ b/internal/labcmd/askcmd.go
@@ -12,10 +12,10 @@
 	"github.com/coralstair/coralstair/lab"
 )
 
-// RefusedError says that an entry did not answer a request.
+// RefusedError reports a response with a status other than 200.
 type RefusedError struct{ Answer lab.Answer }
 
-// Error gives status and outcome.
+// Error returns the status, the outcome and the entry's detail.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("status %d, outcome %s: %s", e.Answer.Status, e.Answer.Outcome, e.Answer.Problem)
 }
--- a/internal/labcmd/config.go
+++ b/internal/labcmd/config.go
@@ -24,7 +24,7 @@
 	exitUsage  = 2
 )
 
-// Config carries what the commands share.
+// Config holds the state that the commands share.
 type Config struct {
 	stdout io.Writer
 	stderr io.Writer
@@ -34,13 +34,13 @@
 	profileFile *os.File
 }
 
-// UsageError says that a command was called wrongly.
+// UsageError reports invalid flags or arguments.
 type UsageError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *UsageError) Error() string { return e.Reason }
 
-// NewConfig returns a configuration that prints to two writers.
+// NewConfig returns a configuration that writes to stdout and stderr.
 func NewConfig(stdout, stderr io.Writer) *Config {
 	return &Config{stdout: stdout, stderr: stderr}
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// startProfile begins the CPU profile, if one is asked for.
+// startProfile starts a CPU profile if the flag is set.
 func (c *Config) startProfile(ctx context.Context, _ *cli.Command) (context.Context, error) {
 	if c.profile == "" {
 		return ctx, nil
@@ -111,12 +111,11 @@
 	return c.profileFile.Close()
 }
 
-// listenFlag is the flag of the stand-ins' address.
 func listenFlag(value string) cli.Flag {
 	return &cli.StringFlag{Name: "listen", Usage: "`ADDRESS` to listen on", Value: value}
 }
 
-// serve answers at an address until ctx ends.
+// serve serves HTTP at an address until ctx is done.
 func (c *Config) serve(ctx context.Context, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -133,8 +132,8 @@
 	return nil
 }
 
-// runAll runs an experiment with each policy that the flags name and, for each, with one seed after another; with
-// --json each result is printed as soon as it is there.
+// runAll runs an experiment with each policy in --policy and, for each, with --runs consecutive seeds; with --json it
+// prints each result as soon as it is available.
 func runAll[T any](c *Config, cmd *cli.Command, run func(policy string, seed uint64) (T, error)) ([]T, error) {
 	var results []T
 	for policy := range strings.SplitSeq(cmd.String("policy"), ",") {
--- a/internal/labcmd/democmd.go
+++ b/internal/labcmd/democmd.go
@@ -16,7 +16,6 @@
 	"github.com/coralstair/coralstair/lab"
 )
 
-// Shape of the demo.
 const (
 	demoBoxes  = 16
 	demoSites  = 3
@@ -45,10 +44,10 @@
 
 func (c *Config) runDemoCmd(ctx context.Context, cmd *cli.Command) error {
 	log.SetLevel(log.ErrorLevel)
-	say := func(format string, args ...any) { _, _ = fmt.Fprintf(c.stdout, format+"\n", args...) }
-	say("%d boxes in %d sites serve version v0 of a %d MiB model; live requests go on at %d a second.",
+	printf := func(format string, args ...any) { _, _ = fmt.Fprintf(c.stdout, format+"\n", args...) }
+	printf("%d boxes in %d sites serve version v0 of a %d MiB model; live requests go on at %d a second.",
 		demoBoxes, demoSites, demoSize>>20, demoLive)
-	say("The links carry 4 copies from the origin and 2 in and out of each box in %s. Declaring version v1 ...", cmd.Duration("window"))
+	printf("The links carry 4 copies from the origin and 2 in and out of each box in %s. Declaring version v1 ...", cmd.Duration("window"))
 	bar := &progressBar{w: c.stdout, terminal: isTerminal(c.stdout)}
 	result, err := lab.Rollout(ctx, lab.RolloutConfig{
 		Boxes: demoBoxes, Sites: demoSites, Size: demoSize, ChunkSize: demoChunk, OriginCopies: 4, BoxCopies: 2,
@@ -59,19 +58,19 @@
 		return err
 	}
 	bar.end()
-	say("served by the first box after %.1f s, by half after %.1f s, by all %d after %.1f s (no policy could before %.1f s)",
+	printf("served by the first box after %.1f s, by half after %.1f s, by all %d after %.1f s (no policy could before %.1f s)",
 		result.TimeToFirst, result.TimeToHalf, result.Boxes, result.TimeToN, result.TimeBound)
-	say("drawn from the origin: %.2f copies; the busiest box's link carried %.2f", result.OriginCopies, result.MaxBoxLinkCopies)
-	say("live requests: %d sent, %d failed, %d mixed or wrong; p99 %.1f ms, %.1f ms before the rollout",
+	printf("drawn from the origin: %.2f copies; the busiest box's link carried %.2f", result.OriginCopies, result.MaxBoxLinkCopies)
+	printf("live requests: %d sent, %d failed, %d mixed or wrong; p99 %.1f ms, %.1f ms before the rollout",
 		result.LiveRequests, result.LiveFailed, result.MixedAnswers, result.LiveP99, result.LiveP99Idle)
-	say("invariants broken inside the daemons: %d", result.InvariantsBroken)
+	printf("invariants broken inside the daemons: %d", result.InvariantsBroken)
 	if !result.AllServing || result.LiveFailed > 0 || result.MixedAnswers > 0 || result.InvariantsBroken > 0 {
-		return fmt.Errorf("the demo did not go as promised")
+		return fmt.Errorf("the demo failed: see the summary above")
 	}
 	return nil
 }
 
-// progressBar shows how a rollout goes: one line that is drawn again on a terminal, a line a second otherwise.
+// progressBar prints the progress of a rollout: one line that is redrawn on a terminal, otherwise one line per second.
 type progressBar struct {
 	w        io.Writer
 	terminal bool
@@ -79,11 +78,11 @@
 }
 
 func (b *progressBar) show(s lab.Sample) {
-	every := time.Second
+	interval := time.Second
 	if b.terminal {
-		every = 100 * time.Millisecond
+		interval = 100 * time.Millisecond
 	}
-	if s.At-b.last < every {
+	if s.At-b.last < interval {
 		return
 	}
 	b.last = s.At
--- a/internal/labcmd/doc.go
+++ b/internal/labcmd/doc.go
@@ -1,2 +1,2 @@
-// Package labcmd holds the commands of coralstair-lab, a file each.
+// Package labcmd implements the commands of coralstair-lab.
 package labcmd
--- a/internal/labcmd/drivecmd.go
+++ b/internal/labcmd/drivecmd.go
@@ -52,9 +52,9 @@
 		cfg.Faults = strings.Split(faults, ",")
 	}
 	results, err := runAll(c, cmd, func(policy string, seed uint64) (lab.DriveResult, error) {
-		one := cfg
-		one.Policy, one.Seed = policy, seed
-		return lab.Drive(ctx, one)
+		runCfg := cfg
+		runCfg.Policy, runCfg.Seed = policy, seed
+		return lab.Drive(ctx, runCfg)
 	})
 	if err != nil {
 		return err
--- a/internal/labcmd/rolloutcmd.go
+++ b/internal/labcmd/rolloutcmd.go
@@ -52,9 +52,9 @@
 	}
 	log.SetLevelFromString(cmd.String("log-level"))
 	results, err := runAll(c, cmd, func(policy string, seed uint64) (lab.RolloutResult, error) {
-		one := cfg
-		one.Policy, one.Seed = policy, seed
-		return lab.Rollout(ctx, one)
+		runCfg := cfg
+		runCfg.Policy, runCfg.Seed = policy, seed
+		return lab.Rollout(ctx, runCfg)
 	})
 	if err != nil {
 		return err
@@ -86,7 +86,7 @@
 		Limit: 20 * cmd.Duration("window"),
 	}
 	if cfg.Prefer != fleet.PreferOriginBytes && cfg.Prefer != fleet.PreferTime {
-		return cfg, &UsageError{Reason: "--prefer is origin-bytes or time"}
+		return cfg, &UsageError{Reason: "--prefer must be origin-bytes or time"}
 	}
 	if faults := cmd.String("faults"); faults != "none" {
 		cfg.Faults = strings.Split(faults, ",")
--- a/internal/labcmd/shortagecmd.go
+++ b/internal/labcmd/shortagecmd.go
@@ -26,20 +26,20 @@
 	}
 }
 
-// The seconds of a jam.
+// Start and end of the burst that --jam adds.
 const (
-	jamFrom = 10 * time.Second
-	jamTo   = 12 * time.Second
+	burstStart = 10 * time.Second
+	burstEnd   = 12 * time.Second
 )
 
 func (c *Config) runShortageCmd(_ context.Context, cmd *cli.Command) error {
 	if cmd.Int("seeds") < 1 || cmd.Float("load") <= 0 {
-		return &UsageError{Reason: "shortage takes at least one seed and a load above 0"}
+		return &UsageError{Reason: "--seeds must be at least 1 and --load above 0"}
 	}
 	means := shortage.Compare(cmd.Int("seeds"), func(seed uint64) shortage.Params {
 		p := shortage.DefaultParams(seed, cmd.Float("load"))
 		if jam := cmd.Float("jam"); jam > 0 {
-			p.BurstStart, p.BurstEnd, p.BurstFactor = jamFrom, jamTo, jam
+			p.BurstStart, p.BurstEnd, p.BurstFactor = burstStart, burstEnd, jam
 		}
 		return p
 	})
--- a/internal/labcmd/weightscmd.go
+++ b/internal/labcmd/weightscmd.go
@@ -26,7 +26,7 @@
 
 func (c *Config) runWeightsCmd(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
-		return &UsageError{Reason: "weights takes one file"}
+		return &UsageError{Reason: "weights takes exactly one FILE argument"}
 	}
 	size, err := humanize.ParseBytes(cmd.String("size"))
 	if err != nil {
