--- a/internal/labcmd/askcmd.go
+++ b/internal/labcmd/askcmd.go
@@ -12,10 +12,10 @@
 	"github.com/coralstair/coralstair/lab"
 )
 
-// RefusedError says that an entry did not answer a request.
+// RefusedError reports a response with a status other than 200.
 type RefusedError struct{ Answer lab.Answer }
 
-// Error gives status and outcome.
+// Error returns the status, the outcome and the entry's detail.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("status %d, outcome %s: %s", e.Answer.Status, e.Answer.Outcome, e.Answer.Problem)
 }
@@ -46,8 +46,8 @@
 	}
 	caller := &lab.Caller{URL: cmd.String("entry"), Key: strings.TrimSpace(string(key))}
 	call := lab.ChatCall{
-		Service: cmd.String("service"), Prompt: cmd.String("prompt"), Tokens: cmd.Int("tokens"),
-		Stream: true, ID: uuid.NewString(), OnceKey: cmd.String("once-key"),
+		Service: cmd.String("service"), Prompt: cmd.String("prompt"), MaxTokens: cmd.Int("tokens"),
+		Stream: true, ID: uuid.NewString(), IdempotencyKey: cmd.String("once-key"),
 	}
 	var answer lab.Answer
 	if path := cmd.String("plain"); path != "" {
