--- a/soak/caller.go
+++ b/soak/caller.go
@@ -13,50 +13,50 @@
 )
 
 const (
-	askEvery   = 60 * time.Millisecond
-	probeEvery = 150 * time.Millisecond
-	readyEvery = 200 * time.Millisecond
-	patience   = 3 * time.Second
-	// leaveShare of the callers' requests are given up early.
-	leaveShare = 0.04
-	// unknownShare of the requests carry a key that no configuration holds.
-	unknownShare = 0.02
+	requestInterval = 60 * time.Millisecond
+	probeInterval   = 150 * time.Millisecond
+	readyInterval   = 200 * time.Millisecond
+	callerTimeout   = 3 * time.Second
+	// abandonShare is the fraction of requests that callers cancel early.
+	abandonShare = 0.04
+	// unknownKeyShare is the fraction of requests with an API key that is not configured.
+	unknownKeyShare = 0.02
 )
 
-// kind is what may be repeated of a request.
-type kind string
+// requestKind says whether a request may be repeated.
+type requestKind string
 
 const (
-	kindStream kind = "stream"
-	kindOnce   kind = "once"
-	kindSafe   kind = "safe"
-	kindProbe  kind = "probe"
+	kindStream requestKind = "stream"
+	kindUnsafe requestKind = "once"
+	kindSafe   requestKind = "safe"
+	kindProbe  requestKind = "probe"
 )
 
-// outcome is one request as its caller saw it.
+// outcome is one request and its result as the caller observed it.
 type outcome struct {
-	ask    standin.Ask
-	kind   kind
-	entry  int
-	life   int
-	sent   time.Time
-	ended  time.Time
-	left   bool
-	answer standin.Answer
-	// revision is that of the route that a probe took.
+	request     standin.Ask
+	kind        requestKind
+	entry       int
+	incarnation int
+	sent        time.Time
+	ended       time.Time
+	abandoned   bool
+	response    standin.Answer
+	// revision is the configuration revision whose route the probe requested.
 	revision int64
 }
 
-// outcomes collects what all callers saw.
+// outcomes collects the results of all callers.
 type outcomes struct {
 	mu  sync.Mutex
 	all []outcome
 }
 
-func (o *outcomes) add(one outcome) {
+func (o *outcomes) add(item outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.all = append(o.all, one)
+	o.all = append(o.all, item)
 }
 
 func (o *outcomes) list() []outcome {
@@ -65,95 +65,95 @@
 	return append([]outcome(nil), o.all...)
 }
 
-// balancer knows which entries take requests: those that answered one of its last two questions.
+// balancer tracks which entries are ready: an entry is out after two failed checks in a row.
 type balancer struct {
-	rig   *rig
-	mu    sync.Mutex
-	miss  []int
-	turns *rand.Rand
+	rig    *rig
+	mu     sync.Mutex
+	misses []int
+	rng    *rand.Rand
 }
 
 func newBalancer(r *rig) *balancer {
-	return &balancer{rig: r, miss: make([]int, len(r.entries)), turns: rand.New(rand.NewPCG(r.opts.Seed, 1))}
+	return &balancer{rig: r, misses: make([]int, len(r.entries)), rng: rand.New(rand.NewPCG(r.opts.Seed, 1))}
 }
 
-// serve asks all entries until ctx ends.
-func (b *balancer) serve(ctx context.Context) {
-	client := &http.Client{Timeout: readyEvery}
-	for tick(ctx, readyEvery) {
+// run polls the readiness of all entries until ctx ends.
+func (b *balancer) run(ctx context.Context) {
+	client := &http.Client{Timeout: readyInterval}
+	for sleep(ctx, readyInterval) {
 		for i := range b.rig.entries {
-			resp, err := client.Get("http://" + b.rig.readyAt(i) + "/ready")
-			good := err == nil && resp.StatusCode == http.StatusOK
+			resp, err := client.Get("http://" + b.rig.readyAddr(i) + "/ready")
+			ready := err == nil && resp.StatusCode == http.StatusOK
 			if err == nil {
 				_ = resp.Body.Close()
 			}
 			b.mu.Lock()
-			if b.miss[i]++; good {
-				b.miss[i] = 0
+			if b.misses[i]++; ready {
+				b.misses[i] = 0
 			}
 			b.mu.Unlock()
 		}
 	}
 }
 
-// pick returns an entry that takes requests; any when none does.
+// pick returns a random ready entry, or any entry if none is ready.
 func (b *balancer) pick() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	from := b.turns.IntN(len(b.miss))
-	for i := range b.miss {
-		if entry := (from + i) % len(b.miss); b.miss[entry] < 2 {
+	from := b.rng.IntN(len(b.misses))
+	for i := range b.misses {
+		if entry := (from + i) % len(b.misses); b.misses[entry] < 2 {
 			return entry
 		}
 	}
 	return from
 }
 
-// takes reports whether an entry takes requests.
-func (b *balancer) takes(entry int) bool {
+// accepts reports whether the entry is ready.
+func (b *balancer) accepts(entry int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.miss[entry] < 2
+	return b.misses[entry] < 2
 }
 
-func tick(ctx context.Context, every time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(every):
+	case <-time.After(d):
 		return true
 	}
 }
 
-// caller asks one request after another, and keeps its connection until that ends.
+// caller sends requests one after another over a connection that it reuses.
 type caller struct {
-	rig    *rig
-	n      int
-	b      *balancer
-	out    *outcomes
-	turns  *rand.Rand
-	client *http.Client
-	entry  int
+	rig      *rig
+	n        int
+	balancer *balancer
+	outcomes *outcomes
+	rng      *rand.Rand
+	client   *http.Client
+	entry    int
 }
 
 func newCaller(r *rig, n int, b *balancer, out *outcomes) *caller {
-	return &caller{rig: r, n: n, b: b, out: out, turns: rand.New(rand.NewPCG(r.opts.Seed, uint64(n)+100)), entry: -1}
+	return &caller{rig: r, n: n, balancer: b, outcomes: out, rng: rand.New(rand.NewPCG(r.opts.Seed, uint64(n)+100)), entry: -1}
 }
 
-func (c *caller) serve(ctx context.Context) {
-	for count := 0; tick(ctx, time.Duration(float64(askEvery)*(0.5+c.turns.Float64()))); count++ {
-		if c.entry < 0 || c.turns.IntN(20) == 0 {
+func (c *caller) run(ctx context.Context) {
+	for count := 0; sleep(ctx, time.Duration(float64(requestInterval)*(0.5+c.rng.Float64()))); count++ {
+		if c.entry < 0 || c.rng.IntN(20) == 0 {
 			c.connect()
 		}
-		if answer := c.ask(ctx, count); answer.Cut != nil || c.rig.opts.planned != nil && answer.Closes {
+		if response := c.sendRequest(ctx, count); response.Cut != nil || c.rig.opts.planned != nil && response.Closes {
 			c.entry = -1
 		}
 	}
 }
 
-// connect takes a new connection to an entry.
+// connect opens a new connection to a ready entry.
 func (c *caller) connect() {
-	c.entry = c.b.pick()
+	c.entry = c.balancer.pick()
 	if c.client != nil {
 		c.client.CloseIdleConnections()
 	}
@@ -167,60 +167,59 @@
 	}}
 }
 
-// ask makes one request.
-func (c *caller) ask(ctx context.Context, count int) standin.Answer {
-	size := c.rig.size()
-	o := outcome{entry: c.entry, life: c.rig.entries[c.entry].lifeNow()}
-	o.ask = standin.Ask{
-		ID: fmt.Sprintf("%d-%d-%d", c.rig.opts.Seed, c.n, count), Host: host, Key: goodKey, Wait: size.patience,
+func (c *caller) sendRequest(ctx context.Context, count int) standin.Answer {
+	load := c.rig.workload()
+	o := outcome{entry: c.entry, incarnation: c.rig.entries[c.entry].currentIncarnation()}
+	o.request = standin.Ask{
+		ID: fmt.Sprintf("%d-%d-%d", c.rig.opts.Seed, c.n, count), Host: host, Key: goodKey, Wait: load.timeout,
 	}
-	switch turn := c.turns.Float64(); {
-	case turn < 0.6:
-		o.kind, o.ask.Path, o.ask.Model = kindStream, streamPath, model
-		o.ask.Prompt, o.ask.Tokens = 50+c.turns.IntN(300), size.tokens+c.turns.IntN(size.spread)
-	case turn < 0.85:
-		o.kind, o.ask.Path = kindOnce, oncePath
+	switch p := c.rng.Float64(); {
+	case p < 0.6:
+		o.kind, o.request.Path, o.request.Model = kindStream, streamPath, model
+		o.request.Prompt, o.request.Tokens = 50+c.rng.IntN(300), load.tokens+c.rng.IntN(load.tokenSpread)
+	case p < 0.85:
+		o.kind, o.request.Path = kindUnsafe, unsafePath
 	default:
-		o.kind, o.ask.Path = kindSafe, safePath
+		o.kind, o.request.Path = kindSafe, safePath
 	}
-	o.ask.Path += fmt.Sprintf("%d", count)
-	if c.turns.Float64() < unknownShare {
-		o.ask.Key = "unknown"
+	o.request.Path += fmt.Sprintf("%d", count)
+	if c.rng.Float64() < unknownKeyShare {
+		o.request.Key = "unknown"
 	}
-	limit := size.patience + time.Second
-	if c.turns.Float64() < leaveShare {
-		o.left, limit = true, time.Duration(c.turns.IntN(100))*time.Millisecond
+	timeout := load.timeout + time.Second
+	if c.rng.Float64() < abandonShare {
+		o.abandoned, timeout = true, time.Duration(c.rng.IntN(100))*time.Millisecond
 	}
-	askCtx, cancel := context.WithTimeout(ctx, limit)
+	reqCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	o.sent = time.Now()
-	o.answer = o.ask.Send(askCtx, c.client, c.rig.entryAt(c.entry))
+	o.response = o.request.Send(reqCtx, c.client, c.rig.entryAddr(c.entry))
 	o.ended = time.Now()
-	o.left = o.left && o.answer.Cut != nil || ctx.Err() != nil
-	if c.rig.opts.planned != nil && unreached(o.answer.Cut) && !c.b.takes(c.entry) {
-		// The entry has left: its callers go to another one.
-		return o.answer
+	o.abandoned = o.abandoned && o.response.Cut != nil || ctx.Err() != nil
+	if c.rig.opts.planned != nil && dialFailed(o.response.Cut) && !c.balancer.accepts(c.entry) {
+		// The entry has shut down and the connection was refused; a real caller connects to another one.
+		return o.response
 	}
-	c.out.add(o)
-	return o.answer
+	c.outcomes.add(o)
+	return o.response
 }
 
-// probe asks one entry again and again for the route that only the newest revision has.
+// probe polls one entry for the route that only the newest configuration revision has.
 func probe(ctx context.Context, r *rig, entry int, out *outcomes) {
 	client := newCallerClient()
-	for count := 0; tick(ctx, probeEvery); count++ {
-		o := outcome{kind: kindProbe, entry: entry, life: r.entries[entry].lifeNow()}
+	for count := 0; sleep(ctx, probeInterval); count++ {
+		o := outcome{kind: kindProbe, entry: entry, incarnation: r.entries[entry].currentIncarnation()}
 		o.revision, _ = r.current()
-		o.ask = standin.Ask{
+		o.request = standin.Ask{
 			ID: fmt.Sprintf("%d-probe-%d-%d", r.opts.Seed, entry, count), Host: host, Path: revisionPath(o.revision), Wait: time.Second,
 		}
-		askCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		reqCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		o.sent = time.Now()
-		o.answer = o.ask.Send(askCtx, client, r.entryAt(entry))
+		o.response = o.request.Send(reqCtx, client, r.entryAddr(entry))
 		o.ended = time.Now()
-		o.left = ctx.Err() != nil
+		o.abandoned = ctx.Err() != nil
 		cancel()
-		if o.life == r.entries[entry].lifeNow() {
+		if o.incarnation == r.entries[entry].currentIncarnation() {
 			out.add(o)
 		}
 	}
--- a/soak/copy.go
+++ b/soak/copy.go
@@ -10,34 +10,34 @@
 )
 
 const (
-	// copyWeight is how often a store that goes back is drawn beside the others.
-	copyWeight = 6
-	// leastCopyAge and copyAgeSpread are how old, in ms, the copy is.
-	leastCopyAge  = 500
-	copyAgeSpread = 19500
-	// rewriteSpread is how much later, in ms, operators and servers write again at most.
-	rewriteSpread = 600
+	// restoreWeight is how many times a store restore is drawn for each draw of another kind.
+	restoreWeight = 6
+	// The age of the backup, in ms.
+	minBackupAgeMS    = 500
+	backupAgeSpreadMS = 19500
+	// rewriteDelaySpreadMS bounds the delay until rows are written again.
+	rewriteDelaySpreadMS = 600
 )
 
-// copyFault has the store be away and come back from a copy; what operators and servers wrote since is written again at once or
-// late, in the order in which it was written or in another.
-func (r *rig) copyFault(below func(int) int) func() fault {
+// restoreFault takes the store down and restores it from a backup; rows written since are written again
+// at once or late, in their order or reversed.
+func (r *rig) restoreFault(intN func(int) int) func() fault {
 	return func() fault {
-		age := time.Duration(leastCopyAge+below(copyAgeSpread)) * time.Millisecond
-		late := time.Duration(below(rewriteSpread)) * time.Millisecond
-		backwards := below(2) == 0
+		age := time.Duration(minBackupAgeMS+intN(backupAgeSpreadMS)) * time.Millisecond
+		late := time.Duration(intN(rewriteDelaySpreadMS)) * time.Millisecond
+		backwards := intN(2) == 0
 		return fault{
-			name: fmt.Sprintf("store from a copy %s old, written again after %s", age, late),
+			name: fmt.Sprintf("store restored from a backup %s old, rows rewritten after %s", age, late),
 			do:   func() { r.store.Refuse(http.StatusServiceUnavailable) },
-			undo: func() { r.comeBack(age, late, backwards) },
+			undo: func() { r.restoreStore(age, late, backwards) },
 		}
 	}
 }
 
-// comeBack has the store answer again, from a copy.
-func (r *rig) comeBack(age, late time.Duration, backwards bool) {
+// restoreStore restores the store from a backup and rewrites the lost rows.
+func (r *rig) restoreStore(age, late time.Duration, backwards bool) {
 	r.mu.Lock()
-	lost := r.store.Restore(latest(time.Now().Add(-age), r.ready))
+	lost := r.store.Restore(latest(time.Now().Add(-age), r.startedAt))
 	r.mu.Unlock()
 	r.store.Refuse(0)
 	time.Sleep(late)
@@ -47,17 +47,17 @@
 	r.mu.Lock()
 	for _, row := range lost {
 		if row.Table == standin.TableDeclared {
-			r.rewrite(row.Key)
+			r.rewriteRow(row.Key)
 		}
 	}
 	r.mu.Unlock()
-	r.beatAll()
+	r.heartbeatAll()
 }
 
-// rewrite has the operator write again what stands under a key; mu is held.
-func (r *rig) rewrite(key string) {
+// rewriteRow writes the current value of a declared key again; r.mu must be held.
+func (r *rig) rewriteRow(key string) {
 	if key == standin.KeyConfig {
-		r.store.Put(standin.TableDeclared, key, r.configuration())
+		r.store.Put(standin.TableDeclared, key, r.config())
 		return
 	}
 	r.store.Put(standin.TableDeclared, key, standin.Target{Model: model, Version: r.version})
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -12,57 +12,56 @@
 )
 
 const (
-	// deadlyEvery is how often each deadly request comes again, backTime how soon a server that ended starts again.
-	deadlyEvery = 250 * time.Millisecond
-	backTime    = 1500 * time.Millisecond
-	// deadlyEnds is how many servers may end under a request until it is known, deadlyMore how often it may reach servers after
-	// that was to be known everywhere.
-	deadlyEnds = 3
-	deadlyMore = 3
-	// deadlyShare is the least share of the other requests that is served once the deadly ones are held.
-	deadlyShare = 0.9
+	// deadlyInterval is the mean time between sends of the same deadly request.
+	deadlyInterval = 250 * time.Millisecond
+	restartDelay   = 1500 * time.Millisecond
+	// deadlyCrashLimit is how many servers a deadly request may crash before it must be quarantined,
+	// lateArrivalLimit how often it may still reach a server once all entries must know.
+	deadlyCrashLimit = 3
+	lateArrivalLimit = 3
+	// minOthersServedShare is the least fraction of other requests served once the deadly ones are quarantined.
+	minOthersServedShare = 0.9
 )
 
-// death is the end of a server under a request.
-type death struct {
+// crash is a server crash caused by a deadly request.
+type crash struct {
 	server string
-	// deadly is the name of the request, the same whenever it comes again.
-	deadly string
-	at     time.Time
+	// request is the name of the deadly request, the same for each send.
+	request string
+	at      time.Time
 }
 
-// deaths collects the ends of servers.
-type deaths struct {
+type crashes struct {
 	mu  sync.Mutex
-	all []death
+	all []crash
 }
 
-func (d *deaths) add(one death) {
+func (d *crashes) add(item crash) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.all = append(d.all, one)
+	d.all = append(d.all, item)
 }
 
-func (d *deaths) list() []death {
+func (d *crashes) list() []crash {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]death(nil), d.all...)
+	return append([]crash(nil), d.all...)
 }
 
-// mayDie has a server reached directly, so that its port refuses once it has ended, and start again some time after a request
-// ended it.
-func (r *rig) mayDie(s *standin.Server) {
+// crashOnDeadly makes deadly requests crash the server and restarts it after a delay.
+// Entries connect to it without a proxy, so that its port refuses connections while it is down.
+func (r *rig) crashOnDeadly(s *standin.Server) {
 	s.Address = s.Listen
 	s.Died = func(request string) {
-		r.deaths.add(death{server: s.ID(), deadly: deadlyName(request), at: time.Now()})
-		time.AfterFunc(backTime, func() { r.restart(s, false) })
+		r.crashes.add(crash{server: s.ID(), request: deadlyName(request), at: time.Now()})
+		time.AfterFunc(restartDelay, func() { r.restart(s, false) })
 	}
 }
 
-// deadlyID returns the id of a deadly request that comes for the n-th time.
+// deadlyID returns the ID of the n-th send of a deadly request.
 func deadlyID(deadly string, n int) string { return fmt.Sprintf("%s/%d", deadly, n) }
 
-// deadlyName returns the name of the deadly request of an id, empty for any other.
+// deadlyName returns the name of the deadly request with an ID, or "" for other requests.
 func deadlyName(id string) string {
 	name, _, ok := strings.Cut(id, "/")
 	if !ok {
@@ -71,73 +70,72 @@
 	return name
 }
 
-// deadlyPlan has deadly requests come again and again, each at any entry, and all entries killed in the middle.
+// deadlyPlan sends deadly requests to random entries and kills all entries halfway.
 func (r *rig) deadlyPlan(out *outcomes) []fault {
 	var plan []fault
 	for k := range r.opts.Deadly {
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		plan = append(plan, fault{
-			name: fmt.Sprintf("deadly request %d", k+1), lasts: r.opts.Trouble,
-			do:   func() { wg.Go(func() { r.deadly(ctx, k, out) }) },
+			name: fmt.Sprintf("deadly request %d", k+1), duration: r.opts.FaultPeriod,
+			do:   func() { wg.Go(func() { r.sendDeadly(ctx, k, out) }) },
 			undo: func() { cancel(); wg.Wait() },
 		})
 	}
 	for _, p := range r.entries {
 		plan = append(plan, fault{
-			name: "kill " + p.name, at: r.opts.Trouble / 2, lasts: settleTime, do: p.kill, undo: func() { _ = p.start() },
+			name: "kill " + p.name, at: r.opts.FaultPeriod / 2, duration: settleTime, do: p.kill, undo: func() { _ = p.start() },
 		})
 	}
 	return plan
 }
 
-// deadly sends one deadly request again and again.
-func (r *rig) deadly(ctx context.Context, k int, out *outcomes) {
-	turns := rand.New(rand.NewPCG(r.opts.Seed, uint64(k)+1000))
+// sendDeadly sends a deadly request repeatedly until ctx ends.
+func (r *rig) sendDeadly(ctx context.Context, k int, out *outcomes) {
+	rng := rand.New(rand.NewPCG(r.opts.Seed, uint64(k)+1000))
 	name := fmt.Sprintf("deadly-%d", k+1)
-	for n := 0; tick(ctx, time.Duration(float64(deadlyEvery)*(0.5+turns.Float64()))); n++ {
-		entry := turns.IntN(len(r.entries))
-		o := outcome{kind: kindStream, entry: entry, life: r.entries[entry].lifeNow()}
-		o.ask = standin.Ask{
-			ID: deadlyID(name, n), Host: host, Path: streamPath + name, Key: goodKey, Wait: r.size().patience,
+	for n := 0; sleep(ctx, time.Duration(float64(deadlyInterval)*(0.5+rng.Float64()))); n++ {
+		entry := rng.IntN(len(r.entries))
+		o := outcome{kind: kindStream, entry: entry, incarnation: r.entries[entry].currentIncarnation()}
+		o.request = standin.Ask{
+			ID: deadlyID(name, n), Host: host, Path: streamPath + name, Key: goodKey, Wait: r.workload().timeout,
 			Model: model, Prompt: 100, Tokens: 50, Body: standin.DeadlyBody + " " + name,
 		}
-		askCtx, cancel := context.WithTimeout(ctx, r.size().patience)
+		reqCtx, cancel := context.WithTimeout(ctx, r.workload().timeout)
 		o.sent = time.Now()
-		o.answer = o.ask.Send(askCtx, newCallerClient(), r.entryAt(entry))
-		o.ended, o.left = time.Now(), ctx.Err() != nil
+		o.response = o.request.Send(reqCtx, newCallerClient(), r.entryAddr(entry))
+		o.ended, o.abandoned = time.Now(), ctx.Err() != nil
 		cancel()
 		out.add(o)
 	}
 }
 
-// deadlyHeld checks that a request under which servers ended reaches no more of them once that was to be known everywhere, and
-// that the others are served then.
-func (j *judge) deadlyHeld() {
-	ends, known := make(map[string]int), make(map[string]time.Time)
-	for _, d := range j.deaths {
-		if ends[d.deadly]++; ends[d.deadly] == deadlyEnds {
-			known[d.deadly] = d.at.Add(bounds.Contact)
+// checkDeadly checks that a quarantined deadly request reaches no more servers and that others are served.
+func (c *checker) checkDeadly() {
+	crashed, knownAt := make(map[string]int), make(map[string]time.Time)
+	for _, d := range c.crashes {
+		if crashed[d.request]++; crashed[d.request] == deadlyCrashLimit {
+			knownAt[d.request] = d.at.Add(bounds.Contact)
 		}
 	}
-	more := make(map[string]int)
-	for _, a := range j.arrivals {
+	late := make(map[string]int)
+	for _, a := range c.arrivals {
 		name := deadlyName(a.ID)
-		if at, ok := known[name]; ok && a.At.After(at) && !j.settling(a.At) {
-			more[name]++
+		if at, ok := knownAt[name]; ok && a.At.After(at) && !c.entryRestarting(a.At) {
+			late[name]++
 		}
 	}
-	for name, n := range more {
-		if n > deadlyMore {
-			j.breaks("deadly: %s reached servers %d times after %d had ended under it; %d ended in all", name, n, deadlyEnds, ends[name])
+	for name, n := range late {
+		if n > lateArrivalLimit {
+			c.reportf("deadly: %s reached servers %d times after it had crashed %d of them; it crashed %d in total", name, n, deadlyCrashLimit, crashed[name])
 		}
 	}
-	j.othersServed(known)
+	c.checkOthersServed(knownAt)
 }
 
-// settling reports whether an entry was down at a time, or had started so short a time before that it need not know all.
-func (j *judge) settling(at time.Time) bool {
-	for _, s := range j.spans {
+// entryRestarting reports whether an entry was down, or so recently started that it may lack the quarantine records.
+func (c *checker) entryRestarting(at time.Time) bool {
+	for _, s := range c.faultSpans {
 		if strings.HasPrefix(s.name, "kill ") && at.After(s.from) && at.Before(s.to.Add(bounds.Contact)) {
 			return true
 		}
@@ -145,29 +143,29 @@
 	return false
 }
 
-// othersServed checks that other requests are served in the last third of a run.
-func (j *judge) othersServed(known map[string]time.Time) {
-	if len(known) == 0 {
+// checkOthersServed checks that other requests are served in the last third of the run.
+func (c *checker) checkOthersServed(knownAt map[string]time.Time) {
+	if len(knownAt) == 0 {
 		return
 	}
 	var to time.Time
-	for _, s := range j.spans {
+	for _, s := range c.faultSpans {
 		if s.to.After(to) {
 			to = s.to
 		}
 	}
-	from := to.Add(-j.rig.opts.Trouble / 3)
-	asked, served := 0, 0
-	for _, o := range j.outcomes {
-		if o.kind == kindProbe || o.left || o.ask.Key != goodKey || deadlyName(o.ask.ID) != "" || o.sent.Before(from) || o.ended.After(to) {
+	from := to.Add(-c.rig.opts.FaultPeriod / 3)
+	sent, served := 0, 0
+	for _, o := range c.outcomes {
+		if o.kind == kindProbe || o.abandoned || o.request.Key != goodKey || deadlyName(o.request.ID) != "" || o.sent.Before(from) || o.ended.After(to) {
 			continue
 		}
-		asked++
-		if o.answer.Whole() {
+		sent++
+		if o.response.Whole() {
 			served++
 		}
 	}
-	if asked < enough || float64(served) < deadlyShare*float64(asked) {
-		j.breaks("deadly: of %d other requests at the end %d were served", asked, served)
+	if sent < minRequests || float64(served) < minOthersServedShare*float64(sent) {
+		c.reportf("deadly: of %d other requests in the last third %d were served", sent, served)
 	}
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -9,259 +9,259 @@
 )
 
 const (
-	// settleTime is what callers' clocks and the machine may add to a bound.
+	// settleTime allows for clock differences and scheduling delays on top of a bound.
 	settleTime = 500 * time.Millisecond
-	// calmShare is the least share of requests served once all is well again.
-	calmShare = 0.95
-	// enough is the least number of requests from which a share is told.
-	enough = 20
+	// minRecoveredShare is the least fraction of requests served after all faults have ended.
+	minRecoveredShare = 0.95
+	// minRequests is the least number of requests for a served fraction; fewer are a violation.
+	minRequests = 20
 )
 
-// judge compares what callers and servers saw with what must hold.
-type judge struct {
-	rig      *rig
-	outcomes []outcome
-	runs     []standin.Run
-	arrivals []standin.Arrival
-	spans    []span
-	calm     calm
-	deaths   []death
-	says     []standin.Said
-	asked    map[string]outcome
-	broken   []string
-	lost     []string
-	limitUse float64
+// checker verifies the invariants against what callers and servers recorded.
+type checker struct {
+	rig         *rig
+	outcomes    []outcome
+	runs        []standin.Run
+	arrivals    []standin.Arrival
+	faultSpans  []faultSpan
+	recovery    recoveryPhase
+	crashes     []crash
+	pushbacks   []standin.Said
+	outcomeByID map[string]outcome
+	violations  []string
+	lost        []string
+	limitUse    float64
 }
 
-// calm is the time after all faults, in which bounds hold too.
-type calm struct {
-	from, to time.Time
-	config   declaration
-	version  declaration
-	drained  string
-	drainAt  time.Time
+// recoveryPhase is the period after all faults, in which time bounds are checked too.
+type recoveryPhase struct {
+	from, to  time.Time
+	config    storeWrite
+	target    storeWrite
+	leavingID string
+	drainedAt time.Time
 }
 
-func (j *judge) breaks(format string, args ...any) {
-	j.broken = append(j.broken, fmt.Sprintf(format, args...))
+func (c *checker) reportf(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// judge returns what was broken.
-func (j *judge) judge() []string {
-	j.asked = make(map[string]outcome, len(j.outcomes))
-	for _, o := range j.outcomes {
-		j.asked[o.ask.ID] = o
+// check returns the violations.
+func (c *checker) check() []string {
+	c.outcomeByID = make(map[string]outcome, len(c.outcomes))
+	for _, o := range c.outcomes {
+		c.outcomeByID[o.request.ID] = o
 	}
-	j.answers()
-	j.runsAllowed()
-	j.runsOnce()
-	j.revisions()
-	j.budget()
+	c.checkResponses()
+	c.checkAuthorized()
+	c.checkNotRepeated()
+	c.checkRevisions()
+	c.checkRetryBudget()
 	switch {
-	case j.rig.opts.planned != nil:
-		j.nothingLost()
-	case j.rig.opts.Deadly > 0:
-		j.deadlyHeld()
-	case j.rig.opts.pushback != noPushback:
-		j.pushbackHeeded()
+	case c.rig.opts.planned != nil:
+		c.checkNothingLost()
+	case c.rig.opts.Deadly > 0:
+		c.checkDeadly()
+	case c.rig.opts.pushback != noPushback:
+		c.checkPushback()
 	default:
-		j.plannedStops()
-		j.calmBounds()
+		c.checkPlannedStops()
+		c.checkRecovery()
 	}
-	for _, fault := range j.rig.runs.Faults() {
-		j.breaks("weights: %s", fault)
+	for _, violation := range c.rig.runs.Faults() {
+		c.reportf("weights: %s", violation)
 	}
-	for _, p := range j.rig.daemons() {
-		for _, crash := range p.crashes {
-			j.breaks("process: %s", crash)
+	for _, p := range c.rig.daemons() {
+		for _, exit := range p.unexpectedExits {
+			c.reportf("process: %s", exit)
 		}
 	}
-	return j.broken
+	return c.violations
 }
 
-// answers checks each answer by itself.
-func (j *judge) answers() {
-	for _, o := range j.outcomes {
+// checkResponses checks each response on its own.
+func (c *checker) checkResponses() {
+	for _, o := range c.outcomes {
 		switch {
-		case o.answer.Wrong != "":
-			j.breaks("answer: %s of entry %d: %s", o.ask.ID, o.entry+1, o.answer.Wrong)
+		case o.response.Wrong != "":
+			c.reportf("response: %s from entry %d: %s", o.request.ID, o.entry+1, o.response.Wrong)
 		case o.kind == kindProbe:
-		case o.ask.Key == goodKey && o.answer.Denied():
-			j.breaks("denied: %s at entry %d with status %d", o.ask.ID, o.entry+1, o.answer.Status)
-		case o.ask.Key != goodKey && o.answer.Status == 200:
-			j.breaks("key: %s was served with an unknown key", o.ask.ID)
+		case o.request.Key == goodKey && o.response.Denied():
+			c.reportf("denied: %s was denied by entry %d with status %d", o.request.ID, o.entry+1, o.response.Status)
+		case o.request.Key != goodKey && o.response.Status == 200:
+			c.reportf("key: %s was served with an unknown key", o.request.ID)
 		}
 	}
 }
 
-// runsAllowed checks that servers ran only what callers asked for and were allowed to.
-func (j *judge) runsAllowed() {
-	for _, run := range j.runs {
-		o, known := j.asked[run.ID]
+// checkAuthorized checks that servers ran only unchanged requests with a valid key, at the service of their route.
+func (c *checker) checkAuthorized() {
+	for _, run := range c.runs {
+		o, known := c.outcomeByID[run.ID]
 		switch {
 		case !known:
-			continue // It was on its way when the run ended.
-		case o.kind != kindProbe && o.ask.Key != goodKey:
-			j.breaks("key: %s ran with an unknown key", run.ID)
+			continue // In flight when the run ended.
+		case o.kind != kindProbe && o.request.Key != goodKey:
+			c.reportf("key: %s ran with an unknown key", run.ID)
 		case o.kind != kindProbe && run.Tenant != team:
-			j.breaks("team: %s ran for %q", run.ID, run.Tenant)
-		case run.Path != o.ask.Path:
-			j.breaks("changed: %s ran with path %s", run.ID, run.Path)
+			c.reportf("team: %s ran for the wrong team %q", run.ID, run.Tenant)
+		case run.Path != o.request.Path:
+			c.reportf("changed: %s ran with a different path %s", run.ID, run.Path)
 		case (o.kind == kindStream) != (run.Service == modelService):
-			j.breaks("route: %s ran at %s", run.ID, run.Service)
+			c.reportf("route: %s ran at the wrong service %s", run.ID, run.Service)
 		}
 	}
 }
 
-// runsOnce checks what must not be repeated, and what was said not to have run.
-func (j *judge) runsOnce() {
+// checkNotRepeated checks that unsafe requests ran at most once, and not at all if refused.
+func (c *checker) checkNotRepeated() {
 	times := make(map[string]int)
-	for _, run := range j.runs {
+	for _, run := range c.runs {
 		times[run.ID]++
 	}
 	for id, n := range times {
-		o, known := j.asked[id]
-		if !known || o.kind != kindOnce {
+		o, known := c.outcomeByID[id]
+		if !known || o.kind != kindUnsafe {
 			continue
 		}
 		if n > 1 {
-			j.breaks("twice: %s ran %d times", id, n)
+			c.reportf("twice: %s ran %d times", id, n)
 		}
-		if o.answer.Refused() {
-			j.breaks("refused: %s was refused with status %d and ran", id, o.answer.Status)
+		if o.response.Refused() {
+			c.reportf("refused: %s was refused with status %d but ran", id, o.response.Status)
 		}
 	}
 }
 
-// revisions checks that no life of an entry goes back to an older configuration.
-func (j *judge) revisions() {
-	type life struct{ entry, life int }
-	newest := make(map[life]int64)
-	probes := slices.DeleteFunc(slices.Clone(j.outcomes), func(o outcome) bool { return o.kind != kindProbe })
+// checkRevisions checks that no entry returns to an older configuration without a restart.
+func (c *checker) checkRevisions() {
+	type incarnation struct{ entry, number int }
+	newest := make(map[incarnation]int64)
+	probes := slices.DeleteFunc(slices.Clone(c.outcomes), func(o outcome) bool { return o.kind != kindProbe })
 	slices.SortFunc(probes, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	for _, o := range probes {
-		of := life{o.entry, o.life}
+		of := incarnation{o.entry, o.incarnation}
 		switch {
-		case o.answer.Status == 200:
+		case o.response.Status == 200:
 			newest[of] = max(newest[of], o.revision)
-		case o.answer.Denied() && newest[of] >= o.revision && !j.replaced(o.revision, o.sent):
-			j.breaks("configuration: entry %d went back behind revision %d", o.entry+1, o.revision)
+		case o.response.Denied() && newest[of] >= o.revision && !c.superseded(o.revision, o.sent):
+			c.reportf("configuration: entry %d reverted to a configuration older than revision %d", o.entry+1, o.revision)
 		}
 	}
 }
 
-// replaced reports whether a newer revision was sent before a time, or so soon after that it may be in force.
-func (j *judge) replaced(revision int64, by time.Time) bool {
-	return slices.ContainsFunc(j.rig.declared, func(d declaration) bool {
+// superseded reports whether a newer revision may already be in force at a time.
+func (c *checker) superseded(revision int64, by time.Time) bool {
+	return slices.ContainsFunc(c.rig.storeWrites, func(d storeWrite) bool {
 		return d.revision > revision && d.sent.Before(by.Add(2*time.Second))
 	})
 }
 
-// plannedStops checks that a stop or a reload cuts off nothing that a server had, unless something else went wrong then.
-func (j *judge) plannedStops() {
+// checkPlannedStops checks that stops and reloads interrupt no request that a server ran, unless another fault overlaps.
+func (c *checker) checkPlannedStops() {
 	ran := make(map[string]bool)
-	for _, run := range j.runs {
+	for _, run := range c.runs {
 		ran[run.ID] = true
 	}
-	for _, o := range j.outcomes {
-		if o.answer.Cut == nil || o.left || o.kind == kindProbe || !ran[o.ask.ID] || o.ended.Sub(o.sent) > patience*7/10 {
+	for _, o := range c.outcomes {
+		if o.response.Cut == nil || o.abandoned || o.kind == kindProbe || !ran[o.request.ID] || o.ended.Sub(o.sent) > callerTimeout*7/10 {
 			continue
 		}
-		work, other := "", false
-		for _, s := range j.spans {
+		operation, otherFault := "", false
+		for _, s := range c.faultSpans {
 			if s.from.Add(-settleTime).After(o.ended) || s.to.Add(bounds.Contact).Before(o.sent) {
 				continue
 			}
 			if s.planned {
-				work = s.name
+				operation = s.name
 			} else {
-				other = true
+				otherFault = true
 			}
 		}
-		if work != "" && !other {
-			j.breaks("cut: %s of entry %d during %s: %v", o.ask.ID, o.entry+1, work, o.answer.Cut)
+		if operation != "" && !otherFault {
+			c.reportf("cut: %s at entry %d was interrupted during %s: %v", o.request.ID, o.entry+1, operation, o.response.Cut)
 		}
 	}
 }
 
-// budget checks the second sends of all entries together, in every window.
-func (j *judge) budget() {
+// checkRetryBudget checks the retries of all entries together in every window.
+func (c *checker) checkRetryBudget() {
 	seen := make(map[string]bool)
-	var first, again []time.Time
-	for _, a := range j.arrivals {
+	var first, retries []time.Time
+	for _, a := range c.arrivals {
 		if a.Service != modelService {
 			continue
 		}
 		if seen[a.ID] {
-			again = append(again, a.At)
+			retries = append(retries, a.At)
 		}
 		seen[a.ID] = true
 	}
-	for _, o := range j.outcomes {
+	for _, o := range c.outcomes {
 		if o.kind == kindStream {
 			first = append(first, o.sent)
 		}
 	}
-	for i, from := range again {
+	for i, from := range retries {
 		to := from.Add(bounds.Window)
 		n := 0
-		for _, at := range again[i:] {
+		for _, at := range retries[i:] {
 			if at.Before(to) {
 				n++
 			}
 		}
-		asked := 0
+		sent := 0
 		for _, at := range first {
 			if !at.Before(from) && at.Before(to) {
-				asked++
+				sent++
 			}
 		}
-		if allowed := bounds.Ratio*float64(asked) + float64(bounds.Slack); float64(n) > allowed {
-			j.breaks("budget: %d second sends in a window that allows %.0f", n, allowed)
+		if allowed := bounds.Ratio*float64(sent) + float64(bounds.Slack); float64(n) > allowed {
+			c.reportf("budget: %d retries in a window that allows %.0f", n, allowed)
 			return
 		}
 	}
 }
 
-// calmBounds checks what has to hold in time once nothing is wrong.
-func (j *judge) calmBounds() {
-	served, asked := 0, 0
-	for _, o := range j.outcomes {
+// checkRecovery checks the time bounds that hold after all faults have ended.
+func (c *checker) checkRecovery() {
+	served, sent := 0, 0
+	for _, o := range c.outcomes {
 		if o.kind == kindProbe {
-			j.calmProbe(o)
+			c.checkRecoveryProbe(o)
 			continue
 		}
-		if o.left || o.ask.Key != goodKey || o.sent.Before(j.calm.version.acked.Add(bounds.Version)) {
+		if o.abandoned || o.request.Key != goodKey || o.sent.Before(c.recovery.target.acked.Add(bounds.Version)) {
 			continue
 		}
-		asked++
-		if o.answer.Whole() {
+		sent++
+		if o.response.Whole() {
 			served++
 		}
 	}
-	if asked < enough || float64(served) < calmShare*float64(asked) {
-		j.breaks("recovery: of %d requests after all was well %d were served", asked, served)
+	if sent < minRequests || float64(served) < minRecoveredShare*float64(sent) {
+		c.reportf("recovery: of %d requests after all faults had ended %d were served", sent, served)
 	}
-	late := j.calm.version.acked.Add(bounds.Version)
-	for _, run := range j.runs {
-		if run.Version != 0 && run.Version < j.calm.version.version && run.Began.After(late) {
-			j.breaks("version: %s began on version %d at %s %s late", run.ID, run.Version, run.Server, run.Began.Sub(late))
+	late := c.recovery.target.acked.Add(bounds.Version)
+	for _, run := range c.runs {
+		if run.Version != 0 && run.Version < c.recovery.target.version && run.Began.After(late) {
+			c.reportf("version: %s started on version %d at %s, %s after the deadline", run.ID, run.Version, run.Server, run.Began.Sub(late))
 		}
-		if run.Server == j.calm.drained && run.Began.After(j.calm.drainAt.Add(bounds.Drain)) {
-			j.breaks("leaving: %s began at %s %s after it said that it leaves", run.ID, run.Server, run.Began.Sub(j.calm.drainAt))
+		if run.Server == c.recovery.leavingID && run.Began.After(c.recovery.drainedAt.Add(bounds.Drain)) {
+			c.reportf("leaving: %s started at %s %s after the server announced its leave", run.ID, run.Server, run.Began.Sub(c.recovery.drainedAt))
 		}
 	}
-	for _, s := range j.rig.engines {
-		if s.Loaded() != j.calm.version.version {
-			j.breaks("version: %s runs version %d in the end, not %d", s.Address, s.Loaded(), j.calm.version.version)
+	for _, s := range c.rig.engines {
+		if s.Loaded() != c.recovery.target.version {
+			c.reportf("version: %s runs version %d at the end, want %d", s.Address, s.Loaded(), c.recovery.target.version)
 		}
 	}
 }
 
-// calmProbe checks that a configuration is in force in time.
-func (j *judge) calmProbe(o outcome) {
-	if o.revision == j.calm.config.revision && o.sent.After(j.calm.config.acked.Add(bounds.Apply)) && o.answer.Denied() {
-		j.breaks("configuration: entry %d does not know revision %d %s after its ack",
-			o.entry+1, o.revision, o.sent.Sub(j.calm.config.acked))
+// checkRecoveryProbe checks that the entry applied the new configuration in time.
+func (c *checker) checkRecoveryProbe(o outcome) {
+	if o.revision == c.recovery.config.revision && o.sent.After(c.recovery.config.acked.Add(bounds.Apply)) && o.response.Denied() {
+		c.reportf("configuration: entry %d has not applied revision %d %s after the store acknowledged it",
+			o.entry+1, o.revision, o.sent.Sub(c.recovery.config.acked))
 	}
 }
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// size is how much servers take and callers ask for.
-type size struct {
+// workload sets the capacity of the servers and the length of the requests.
+type workload struct {
 	slots int
-	// tokens are the fewest of a stream, spread how many more there are at most.
-	tokens, spread int
-	patience       time.Duration
-	grace          time.Duration
+	// tokens is the minimum length of a stream; up to tokenSpread more are added at random.
+	tokens, tokenSpread int
+	timeout             time.Duration
+	grace               time.Duration
 }
 
 var (
-	short = size{slots: 16, tokens: 10, spread: 80, patience: patience, grace: bounds.Grace}
-	// long has streams of 1.5 to 3 s and few slots.
-	long = size{slots: 6, tokens: 500, spread: 500, patience: 8 * time.Second, grace: 8 * time.Second}
+	shortStreams = workload{slots: 16, tokens: 10, tokenSpread: 80, timeout: callerTimeout, grace: bounds.Grace}
+	// longStreams has streams of seconds and few slots, so that stops overlap with many streams.
+	longStreams = workload{slots: 6, tokens: 500, tokenSpread: 500, timeout: 8 * time.Second, grace: 8 * time.Second}
 )
 
-func (r *rig) size() size {
+func (r *rig) workload() workload {
 	if r.opts.planned != nil {
-		return long
+		return longStreams
 	}
-	return short
+	return shortStreams
 }
 
-// unreached reports whether no connection came about.
-func unreached(err error) bool {
+// dialFailed reports whether no connection was established.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// nothingLost checks that beside planned work each request gets its whole answer or is refused with a time to come back.
-func (j *judge) nothingLost() {
-	for _, o := range j.outcomes {
-		a := o.answer
-		if o.kind == kindProbe || o.left || a.Cut == nil && (a.Status == http.StatusOK || a.Status == http.StatusUnauthorized || a.Back != "") {
+// checkNothingLost checks that each request gets a complete response or a refusal with Retry-After.
+func (c *checker) checkNothingLost() {
+	for _, o := range c.outcomes {
+		a := o.response
+		if o.kind == kindProbe || o.abandoned || a.Cut == nil && (a.Status == http.StatusOK || a.Status == http.StatusUnauthorized || a.Back != "") {
 			continue
 		}
-		what := fmt.Sprintf("status %d and no time to come back", a.Status)
+		what := fmt.Sprintf("status %d without Retry-After", a.Status)
 		if a.Cut != nil {
 			what = a.Cut.Error()
 		}
 		var ran []string
-		for _, run := range j.runs {
-			if run.ID == o.ask.ID {
-				ran = append(ran, fmt.Sprintf("%s from %s on", run.Server, run.Began.Sub(o.sent).Round(time.Millisecond)))
+		for _, run := range c.runs {
+			if run.ID == o.request.ID {
+				ran = append(ran, fmt.Sprintf("%s after %s", run.Server, run.Began.Sub(o.sent).Round(time.Millisecond)))
 			}
 		}
-		j.lost = append(j.lost, o.ask.ID)
-		j.breaks("lost: %s of entry %d, %s sent %s, after %s: %s; ran at %q",
-			o.ask.ID, o.entry+1, o.kind, o.sent.Format("15:04:05.000"), o.ended.Sub(o.sent).Round(time.Millisecond), what, ran)
+		c.lost = append(c.lost, o.request.ID)
+		c.reportf("lost: %s at entry %d, %s request sent at %s, ended after %s: %s; ran at %q",
+			o.request.ID, o.entry+1, o.kind, o.sent.Format("15:04:05.000"), o.ended.Sub(o.sent).Round(time.Millisecond), what, ran)
 	}
 }
--- a/soak/planned_test.go
+++ b/soak/planned_test.go
@@ -13,83 +13,83 @@
 	"time"
 )
 
-// originRate, in kB/s, has pieces come as late as those of large weights.
-const originRate = 20
+// originRateKBps makes pieces download as slowly as those of large weights.
+const originRateKBps = 20
 
-// plannedSeeds are those of planned work alone that run in CI.
+// plannedSeeds are the seeds that run in CI.
 var plannedSeeds = []uint64{1, 2}
 
-// TestPlannedWork proves that no request is lost beside planned work alone.
+// TestPlannedWork checks that no request is lost during planned operations without faults.
 func TestPlannedWork(t *testing.T) {
 	eachSeed(t, "planned", plannedSeeds, func(t *testing.T, opts Options) {
-		opts.planned, opts.Callers, opts.Trouble = plannedWork, 32, 16*time.Second
+		opts.planned, opts.Callers, opts.FaultPeriod = plannedWork, 32, 16*time.Second
 		result := run(t, opts)
 		for _, id := range result.Lost {
-			t.Log(traced(t, opts.Dir, id))
+			t.Log(requestLog(t, opts.Dir, id))
 		}
 		if result.Served < 500 || result.Refused == 0 {
-			t.Errorf("%d served and %d refused are no full load", result.Served, result.Refused)
+			t.Errorf("%d served and %d refused: the system was not fully loaded", result.Served, result.Refused)
 		}
 	})
 }
 
-// traced returns what the entries' logs say of a request.
-func traced(t *testing.T, dir, id string) string {
+// requestLog returns the entries' log lines about a request.
+func requestLog(t *testing.T, dir, id string) string {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "entry-*.log"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := id + ":"
+	text := id + ":"
 	for _, file := range files {
 		data, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for line := range strings.Lines(string(data)) {
-			var said struct {
+			var entry struct {
 				At, ID, Node, Msg, Outcome, Cause, Server, To string
 				MS                                            int
 				Tries                                         []string
 			}
-			if json.Unmarshal([]byte(line), &said) == nil && said.ID == id {
-				told += fmt.Sprintf(" %s %s %q %s after %d ms at %s%s, %q, tries %q;",
-					said.At, said.Node, said.Msg, said.Outcome, said.MS, said.Server, said.To, said.Cause, said.Tries)
+			if json.Unmarshal([]byte(line), &entry) == nil && entry.ID == id {
+				text += fmt.Sprintf(" %s %s %q %s after %d ms at %s%s, %q, tries %q;",
+					entry.At, entry.Node, entry.Msg, entry.Outcome, entry.MS, entry.Server, entry.To, entry.Cause, entry.Tries)
 			}
 		}
 	}
-	return told
+	return text
 }
 
-// plannedWork draws planned work in quick succession, and nothing else, from a run's seed.
+// plannedWork draws planned operations in quick succession from the seed.
 func plannedWork(r *rig) []fault {
-	r.toOrigin.squeeze(toCaller, originRate)
-	turns := rand.New(rand.NewPCG(r.opts.Seed, 8))
+	r.originHop.throttle(toCaller, originRateKBps)
+	rng := rand.New(rand.NewPCG(r.opts.Seed, 8))
 	all, servers, first := r.daemons(), r.servers(), int(r.opts.Seed)
 	var plan []fault
 	every := func(least, spread time.Duration, draw func(n int) fault) {
-		at := time.Duration(turns.Int64N(int64(spread)))
-		for n := first; at < r.opts.Trouble; n++ {
+		at := time.Duration(rng.Int64N(int64(spread)))
+		for n := first; at < r.opts.FaultPeriod; n++ {
 			f := draw(n)
 			f.at, f.planned = at, true
 			plan = append(plan, f)
-			at += least + time.Duration(turns.Int64N(int64(spread)))
+			at += least + time.Duration(rng.Int64N(int64(spread)))
 		}
 	}
 	nothing := func() {}
 	every(2*time.Second, 2*time.Second, func(int) fault {
-		return fault{name: "version", do: func() { r.nameVersion() }, undo: nothing}
+		return fault{name: "version", do: func() { r.writeTarget() }, undo: nothing}
 	})
 	every(time.Second, 2*time.Second, func(int) fault {
-		return fault{name: "configuration", do: func() { r.declare() }, undo: nothing}
+		return fault{name: "configuration", do: func() { r.writeConfig() }, undo: nothing}
 	})
 	every(time.Second, time.Second, func(int) fault {
-		p := all[turns.IntN(len(all))]
+		p := all[rng.IntN(len(all))]
 		return fault{name: "reload " + p.name, do: func() { reload(p) }, undo: nothing}
 	})
 	every(3*time.Second, 2*time.Second, func(n int) fault {
 		s := servers[n%len(servers)]
-		return fault{name: "leave " + s.Address, lasts: bounds.Drain, do: s.Drain, undo: func() {
+		return fault{name: "leave " + s.Address, duration: bounds.Drain, do: s.Drain, undo: func() {
 			for !s.Idle() {
 				time.Sleep(settleTime)
 			}
@@ -102,24 +102,24 @@
 	return plan
 }
 
-// reload has a process read its settings again, unless it was started just now and can not yet hear of it.
+// reload sends SIGHUP unless the process has just started and may not handle it yet.
 func reload(p *process) {
 	p.mu.Lock()
-	age := time.Since(p.began)
+	age := time.Since(p.startedAt)
 	p.mu.Unlock()
 	if age > settleTime {
 		p.signal(syscall.SIGHUP, false)
 	}
 }
 
-// stopTwo stops two entries at a time and starts them again.
+// stopTwo stops two entries at the same time and restarts them.
 func stopTwo(r *rig, one, two *process) fault {
 	return fault{
 		name: "stop " + one.name + " and " + two.name,
 		do: func() {
 			var wg sync.WaitGroup
-			wg.Go(func() { one.stop(r.size().grace) })
-			two.stop(r.size().grace)
+			wg.Go(func() { one.stop(r.workload().grace) })
+			two.stop(r.workload().grace)
 			wg.Wait()
 		},
 		undo: func() { _, _ = one.start(), two.start() },
--- a/soak/process.go
+++ b/soak/process.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// stopGrace is how long after the bound on a planned stop a process is killed.
-const stopGrace = time.Second
+// killDelay is the extra time after a stop's grace period until SIGKILL.
+const killDelay = time.Second
 
-// process is one daemon; it ends only what it started itself, by its id.
+// process is one daemon. Signals go only to the process started here.
 type process struct {
 	name string
 	args []string
 	env  []string
 	log  string
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	ended   chan struct{}
-	began   time.Time
-	life    int
-	paused  bool
-	planned bool
-	crashes []string
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	exited          chan struct{}
+	startedAt       time.Time
+	incarnation     int
+	paused          bool
+	exitExpected    bool
+	unexpectedExits []string
 }
 
-// start starts the process unless it runs.
+// start starts the process unless it is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,83 +47,83 @@
 		_ = out.Close()
 		return err
 	}
-	p.cmd, p.ended, p.began, p.paused, p.planned = cmd, make(chan struct{}), time.Now(), false, false
-	p.life++
-	go p.wait(cmd, p.ended, out)
+	p.cmd, p.exited, p.startedAt, p.paused, p.exitExpected = cmd, make(chan struct{}), time.Now(), false, false
+	p.incarnation++
+	go p.wait(cmd, p.exited, out)
 	return nil
 }
 
-// wait notes an end that nobody asked for.
-func (p *process) wait(cmd *exec.Cmd, ended chan struct{}, out *os.File) {
+// wait records an unexpected exit.
+func (p *process) wait(cmd *exec.Cmd, exited chan struct{}, out *os.File) {
 	err := cmd.Wait()
 	_ = out.Close()
 	p.mu.Lock()
-	if !p.planned {
-		p.crashes = append(p.crashes, fmt.Sprintf("%s ended by itself: %v", p.name, err))
+	if !p.exitExpected {
+		p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s exited unexpectedly: %v", p.name, err))
 	}
 	p.mu.Unlock()
-	close(ended)
+	close(exited)
 }
 
-// running reports whether the process runs; mu is held.
+// running reports whether the process runs; p.mu must be held.
 func (p *process) running() bool {
 	if p.cmd == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// signal sends a signal; ends says that the process may end by it.
-func (p *process) signal(sig syscall.Signal, ends bool) {
+// signal sends a signal; mayExit says that the process may exit because of it.
+func (p *process) signal(sig syscall.Signal, mayExit bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.running() {
 		return
 	}
-	p.planned = p.planned || ends
+	p.exitExpected = p.exitExpected || mayExit
 	p.paused = sig == syscall.SIGSTOP || p.paused && sig != syscall.SIGCONT
 	_ = p.cmd.Process.Signal(sig)
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill sends SIGKILL and waits for the exit.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL, true)
-	p.gone(0)
+	p.waitExit(0)
 }
 
-// stop asks for a planned stop; after grace the process is killed.
+// stop sends SIGTERM, and SIGKILL once the grace period is over.
 func (p *process) stop(grace time.Duration) {
 	p.signal(syscall.SIGTERM, true)
-	p.gone(grace + stopGrace)
+	p.waitExit(grace + killDelay)
 	p.kill()
 }
 
-// gone waits until the process has ended, not longer than a limit unless that is 0.
-func (p *process) gone(limit time.Duration) {
+// waitExit waits for the exit, no longer than limit unless that is 0.
+func (p *process) waitExit(limit time.Duration) {
 	p.mu.Lock()
-	ended := p.ended
+	exited := p.exited
 	p.mu.Unlock()
-	if ended == nil {
+	if exited == nil {
 		return
 	}
 	if limit == 0 {
-		<-ended
+		<-exited
 		return
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-time.After(limit):
 	}
 }
 
-// lifeNow returns the number of the process's life.
-func (p *process) lifeNow() int {
+// currentIncarnation returns how many times the process has been started.
+func (p *process) currentIncarnation() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.incarnation
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -10,17 +10,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// hop is a way between two parts on which connections can be harmed.
+// hop is a proxied network path on which faults can be injected.
 type hop struct {
 	proxy *toxiproxy.Proxy
 }
 
-// quietProxies keeps the proxies' own log out of the test's.
-var quietProxies = sync.OnceFunc(func() { logrus.SetOutput(io.Discard) })
+// disableProxyLog keeps the proxies' log out of the test output.
+var disableProxyLog = sync.OnceFunc(func() { logrus.SetOutput(io.Discard) })
 
-// newHop opens a way from one address to another.
+// newHop starts a proxy that listens on from and forwards to to.
 func newHop(name, from, to string) (*hop, error) {
-	quietProxies()
+	disableProxyLog()
 	proxy := toxiproxy.NewProxy()
 	proxy.Name, proxy.Listen, proxy.Upstream = name, from, to
 	if err := proxy.Start(); err != nil {
@@ -35,30 +35,29 @@
 	toCaller = "downstream"
 )
 
-// harm has one direction misbehave until healed.
-func (h *hop) harm(kind, direction, attributes string) {
+func (h *hop) addToxic(kind, direction, attributes string) {
 	text := fmt.Sprintf(`{"name":"harm-%s-%s","type":%q,"stream":%q,"toxicity":1.0,"attributes":{%s}}`,
 		kind, direction, kind, direction, attributes)
 	_, _ = h.proxy.Toxics.AddToxicJson(strings.NewReader(text))
 }
 
-// delay holds what goes one way up.
+// delay adds latency and jitter in one direction.
 func (h *hop) delay(direction string, ms int) {
-	h.harm("latency", direction, fmt.Sprintf(`"latency":%d,"jitter":%d`, ms, ms/4))
+	h.addToxic("latency", direction, fmt.Sprintf(`"latency":%d,"jitter":%d`, ms, ms/4))
 }
 
-// silence lets nothing through one way, without a word.
-func (h *hop) silence(direction string) { h.harm("timeout", direction, `"timeout":0`) }
+// blackhole drops all data in one direction and keeps the connections open.
+func (h *hop) blackhole(direction string) { h.addToxic("timeout", direction, `"timeout":0`) }
 
-// squeeze leaves so many kB a second.
-func (h *hop) squeeze(direction string, rate int) {
-	h.harm("bandwidth", direction, fmt.Sprintf(`"rate":%d`, rate))
+// throttle limits one direction to a rate in kB/s.
+func (h *hop) throttle(direction string, rate int) {
+	h.addToxic("bandwidth", direction, fmt.Sprintf(`"rate":%d`, rate))
 }
 
-// cut ends all connections and refuses new ones until healed.
-func (h *hop) cut() { h.proxy.Stop() }
+// disconnect closes all connections and refuses new ones until heal is called.
+func (h *hop) disconnect() { h.proxy.Stop() }
 
-// heal ends all harm.
+// heal removes all faults.
 func (h *hop) heal() {
 	h.proxy.Toxics.ResetToxics()
 	_ = h.proxy.Start()
--- a/soak/rig.go
+++ b/soak/rig.go
@@ -13,7 +13,7 @@
 	"github.com/coralstair/coralstair/lab/standin"
 )
 
-// What the rig is made of, by name.
+// Names and paths of the test configuration.
 const (
 	model        = "weights"
 	modelService = "drafts"
@@ -25,11 +25,10 @@
 	team         = "team"
 
 	streamPath = "/draft/"
-	oncePath   = "/confirm/"
+	unsafePath = "/confirm/"
 	safePath   = "/look/"
 )
 
-// Ports, alike on all machines.
 const (
 	callersPort = 8005
 	readyPort   = 8002
@@ -41,7 +40,7 @@
 	originPort  = 8006
 )
 
-// bounds are those of the rules, short enough for a run of some seconds.
+// bounds are the time bounds of the system, short enough for a run of seconds.
 var bounds = standin.Bounds{
 	Contact: 1500 * time.Millisecond, Apply: 2 * time.Second, Drain: 2 * time.Second, Grace: 6 * time.Second,
 	Version: 6 * time.Second, Window: 10 * time.Second, Ratio: 0.2, Slack: 40,
@@ -49,7 +48,7 @@
 
 var sites = []string{"north", "south"}
 
-// rig is the running system: daemons as processes, stand-ins of the platform in this one, and the ways between them.
+// rig is the system under test: daemons as processes, stand-ins of the platform, and proxies between them.
 type rig struct {
 	opts    Options
 	block   int
@@ -60,68 +59,67 @@
 	plain   []*standin.Server
 	entries []*process
 	boxes   []*process
-	// toStore are the daemons' own ways to the store, toServer the entries' ways to the servers, toBox those to the boxes.
-	toStore  []*hop
-	toServer []*hop
-	toBox    []*hop
-	toOrigin *hop
-	closers  []func()
-	deaths   deaths
-
-	mu       sync.Mutex
-	ready    time.Time
-	revision int64
-	version  int64
-	declared []declaration
+	// storeHops lead from each daemon to the store, serverHops from entries to servers, boxHops from entries to boxes.
+	storeHops  []*hop
+	serverHops []*hop
+	boxHops    []*hop
+	originHop  *hop
+	closers    []func()
+	crashes    crashes
+
+	mu          sync.Mutex
+	startedAt   time.Time
+	revision    int64
+	version     int64
+	storeWrites []storeWrite
 }
 
 func newRig(opts Options) (*rig, error) {
-	r := &rig{opts: opts, store: standin.NewStore(), origin: &standin.Origin{}, runs: &standin.Runs{}, block: int(opts.Seed % blocks)}
+	r := &rig{opts: opts, store: standin.NewStore(), origin: &standin.Origin{}, runs: &standin.Runs{}, block: int(opts.Seed % addressBlocks)}
 	err := errors.Join(
 		r.serveStore(),
 		r.serve(hostPort(r.ip(9, 2), originPort), r.origin),
-		r.hop(&r.toOrigin, "origin", hostPort(r.ip(9, 3), originPort), hostPort(r.ip(9, 2), originPort)),
+		r.addHop(&r.originHop, "origin", hostPort(r.ip(9, 3), originPort), hostPort(r.ip(9, 2), originPort)),
 		r.addServers(),
-		r.listMore(),
+		r.listUnreachable(),
 		r.addDaemons(),
 	)
 	if err != nil {
 		r.close()
 		return nil, err
 	}
-	r.nameVersion()
-	r.declare()
-	r.ready = time.Now()
+	r.writeTarget()
+	r.writeConfig()
+	r.startedAt = time.Now()
 	return r, nil
 }
 
-// blocks is how many blocks of loopback addresses there are for runs, firstBlock the first of them.
+// Each run uses its own block of loopback addresses: 127.(firstAddressBlock+block).0.0/16.
 const (
-	blocks     = 200
-	firstBlock = 20
+	addressBlocks     = 200
+	firstAddressBlock = 20
 )
 
-// serveStore runs the store in the first block of addresses that no other run on this machine has: the seed's own as a rule.
+// serveStore starts the store in the first free address block, beginning with the seed's own.
 func (r *rig) serveStore() error {
 	var err error
-	for range blocks {
+	for range addressBlocks {
 		if err = r.serve(hostPort(r.ip(9, 1), storePort), r.store); err == nil {
 			return nil
 		}
-		r.block = (r.block + 1) % blocks
+		r.block = (r.block + 1) % addressBlocks
 	}
 	return err
 }
 
-// ip returns an address of this run.
+// ip returns a loopback address in the block of this run.
 func (r *rig) ip(group, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d", firstBlock+r.block, group, n)
+	return fmt.Sprintf("127.%d.%d.%d", firstAddressBlock+r.block, group, n)
 }
 
-// hostPort returns an address with its port.
 func hostPort(ip string, port int) string { return fmt.Sprintf("%s:%d", ip, port) }
 
-// serve runs a stand-in.
+// serve starts an HTTP server for a stand-in.
 func (r *rig) serve(address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -133,7 +131,7 @@
 	return nil
 }
 
-func (r *rig) hop(to **hop, name, from, at string) error {
+func (r *rig) addHop(to **hop, name, from, at string) error {
 	h, err := newHop(name, from, at)
 	if err != nil {
 		return err
@@ -143,7 +141,7 @@
 	return nil
 }
 
-// addServers starts the model servers and the plain ones.
+// addServers starts the model servers and the plain servers.
 func (r *rig) addServers() error {
 	var errs []error
 	for i := range r.opts.Boxes + r.opts.Plain {
@@ -154,10 +152,10 @@
 		ip := r.ip(group, n)
 		s := &standin.Server{
 			Address: hostPort(ip, hopPort), Listen: hostPort(ip, serverPort),
-			Service: service, Zone: sites[i%len(sites)], Slots: r.size().slots, Store: r.store, Runs: r.runs,
+			Service: service, Zone: sites[i%len(sites)], Slots: r.workload().slots, Store: r.store, Runs: r.runs,
 		}
 		if r.opts.Deadly > 0 {
-			r.mayDie(s)
+			r.crashOnDeadly(s)
 		}
 		if service == modelService {
 			s.Model = model
@@ -166,30 +164,30 @@
 			r.plain = append(r.plain, s)
 		}
 		var h *hop
-		errs = append(errs, r.hop(&h, "server-"+ip, hostPort(ip, hopPort), s.Listen), s.Start(runs))
-		r.toServer = append(r.toServer, h)
+		errs = append(errs, r.addHop(&h, "server-"+ip, hostPort(ip, hopPort), s.Listen), s.Start(runs))
+		r.serverHops = append(r.serverHops, h)
 		r.closers = append(r.closers, s.Crash)
 	}
 	return errors.Join(errs...)
 }
 
-// listMore lists servers of a service that no route leads to.
-func (r *rig) listMore() error {
-	for n := range r.opts.Listed {
-		r.list(n)
+// listUnreachable adds list entries of servers that do not run and that no route uses.
+func (r *rig) listUnreachable() error {
+	for n := range r.opts.Unreachable {
+		r.listServer(n)
 	}
 	return nil
 }
 
-// list lists a server that nobody reaches.
-func (r *rig) list(n int) {
+// listServer adds a list entry of a server that does not run.
+func (r *rig) listServer(n int) {
 	r.store.Put(standin.TableServers, fmt.Sprintf("i-listed-%d", n), standin.Beat{
 		Service: "listed", Address: hostPort(r.ip(100+n/250, 1+n%250), serverPort), Zone: sites[n%len(sites)],
-		Slots: r.size().slots, State: standin.StateReady, Models: []standin.Loaded{}, Born: int64(n + 1),
+		Slots: r.workload().slots, State: standin.StateReady, Models: []standin.Loaded{}, Born: int64(n + 1),
 	})
 }
 
-// addDaemons starts an entry on each entry machine and a box beside each model server.
+// addDaemons starts the entries, and a box for each model server.
 func (r *rig) addDaemons() error {
 	var errs []error
 	for i := range r.opts.Entries {
@@ -204,22 +202,22 @@
 			IP: ip, Link: boxLinkPort, App: server.Address, Service: modelService,
 		}, &r.boxes))
 		var h *hop
-		errs = append(errs, r.hop(&h, "box-"+ip, hostPort(ip, linkPort), hostPort(ip, boxLinkPort)))
-		r.toBox = append(r.toBox, h)
+		errs = append(errs, r.addHop(&h, "box-"+ip, hostPort(ip, linkPort), hostPort(ip, boxLinkPort)))
+		r.boxHops = append(r.boxHops, h)
 	}
 	return errors.Join(errs...)
 }
 
 func (r *rig) addDaemon(role string, i int, settings standin.Settings, to *[]*process) error {
 	name := fmt.Sprintf("%s-%d", role, i+1)
-	storeAt := hostPort(r.ip(4, len(r.toStore)+1), storePort)
+	storeAt := hostPort(r.ip(4, len(r.storeHops)+1), storePort)
 	var h *hop
-	if err := r.hop(&h, "store-"+name, storeAt, hostPort(r.ip(9, 1), storePort)); err != nil {
+	if err := r.addHop(&h, "store-"+name, storeAt, hostPort(r.ip(9, 1), storePort)); err != nil {
 		return err
 	}
-	r.toStore = append(r.toStore, h)
+	r.storeHops = append(r.storeHops, h)
 	settings.ID, settings.Zone, settings.Zones, settings.Store, settings.Bounds = name, sites[i%len(sites)], sites, storeAt, bounds
-	settings.Bounds.Grace = r.size().grace
+	settings.Bounds.Grace = r.workload().grace
 	path := filepath.Join(r.opts.Dir, name+".toml")
 	if err := os.WriteFile(path, []byte(settings.String()), 0o600); err != nil {
 		return err
@@ -230,23 +228,23 @@
 	return p.start()
 }
 
-// daemons returns all processes, in the order of their ways to the store.
+// daemons returns all processes in the order of storeHops.
 func (r *rig) daemons() []*process {
 	return append(append([]*process(nil), r.entries...), r.boxes...)
 }
 
-// servers returns all servers, in the order of the ways to them.
+// servers returns all servers in the order of serverHops.
 func (r *rig) servers() []*standin.Server {
 	return append(append([]*standin.Server(nil), r.engines...), r.plain...)
 }
 
-// entryAt returns where callers reach an entry.
-func (r *rig) entryAt(i int) string { return hostPort(r.ip(1, i+1), callersPort) }
+// entryAddr returns the address for callers.
+func (r *rig) entryAddr(i int) string { return hostPort(r.ip(1, i+1), callersPort) }
 
-// readyAt returns where the balancer asks an entry.
-func (r *rig) readyAt(i int) string { return hostPort(r.ip(1, i+1), readyPort) }
+// readyAddr returns the address of the readiness check.
+func (r *rig) readyAddr(i int) string { return hostPort(r.ip(1, i+1), readyPort) }
 
-// close ends all that the rig started.
+// close stops everything the rig started, in reverse order.
 func (r *rig) close() {
 	for i := len(r.closers) - 1; i >= 0; i-- {
 		r.closers[i]()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -10,42 +10,42 @@
 	"time"
 )
 
-// Options are those of one run; a zero field takes its default.
+// Options configure one run; a zero field takes its default.
 type Options struct {
 	Seed uint64
-	// Daemon is the program, Dir where settings and logs go.
+	// Daemon is the path of the executable, Dir the folder for settings and logs.
 	Daemon string
 	Dir    string
-	// Entries, Boxes and Plain are how many there are of each; each box stands beside a model server.
+	// Entries, Boxes and Plain are counts; each box has one model server.
 	Entries int
 	Boxes   int
 	Plain   int
 	Callers int
-	// Trouble is for how long faults begin, or planned work.
-	Trouble time.Duration
-	// Lives adds servers that start again under their ids, and entries of other writers, twice as often as any other fault.
-	Lives bool
-	// Copies adds a store that comes back from a copy of itself, as often as all other faults of a kind together.
-	Copies bool
-	// Deadly is how many requests come again and again that end each server that runs them, beside restarts of all entries.
+	// FaultPeriod is the period in which faults or planned operations start.
+	FaultPeriod time.Duration
+	// Restarts adds servers that restart under the same ID and malformed list entries, at twice the usual rate.
+	Restarts bool
+	// StoreRestores adds restores of the store from a backup, at a higher rate than other faults.
+	StoreRestores bool
+	// Deadly is the number of distinct requests that crash each server that runs them.
 	Deadly int
-	// Listed is how many servers stand in the list besides that nobody reaches.
-	Listed int
-	// pushback is what servers ask of entries in their answers, beside a kill and a stop of entries.
+	// Unreachable is the number of additional list entries of servers that do not run.
+	Unreachable int
+	// pushback is the kind of signal that servers send, while entries are killed and stopped.
 	pushback pushback
-	// planned returns planned work beside which nothing may be lost; nil has faults go on.
+	// planned returns operations during which no request may be lost; nil runs the fault plan.
 	planned func(r *rig) []fault
 }
 
 // Defaults of Options.
 const (
-	DefaultEntries = 3
-	DefaultBoxes   = 6
-	DefaultPlain   = 3
-	DefaultCallers = 16
-	DefaultTrouble = 6 * time.Second
+	DefaultEntries     = 3
+	DefaultBoxes       = 6
+	DefaultPlain       = 3
+	DefaultCallers     = 16
+	DefaultFaultPeriod = 6 * time.Second
 
-	startTime = 4 * time.Second
+	startupTime = 4 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -53,32 +53,32 @@
 	o.Boxes = cmp.Or(o.Boxes, DefaultBoxes)
 	o.Plain = cmp.Or(o.Plain, DefaultPlain)
 	o.Callers = cmp.Or(o.Callers, DefaultCallers)
-	o.Trouble = cmp.Or(o.Trouble, DefaultTrouble)
+	o.FaultPeriod = cmp.Or(o.FaultPeriod, DefaultFaultPeriod)
 	return o
 }
 
-// Result is what a run showed.
+// Result summarises a run.
 type Result struct {
-	Seed     uint64
-	Requests int
-	Served   int
-	Refused  int
-	Cut      int
-	Faults   []string
-	Broken   []string
-	// LimitUse is the part of what servers with limits take that entries sent there.
+	Seed        uint64
+	Requests    int
+	Served      int
+	Refused     int
+	Interrupted int
+	Faults      []string
+	Violations  []string
+	// LimitUse is the fraction of the rate limits that entries used.
 	LimitUse float64
-	// Lost are the requests of a planned run without a whole answer or a refusal that says when to come back.
+	// Lost are the IDs of requests without a complete response or a refusal with Retry-After, in a planned run.
 	Lost []string
 }
 
-// String tells the result in a line.
+// String returns the counts in one line.
 func (r *Result) String() string {
 	return fmt.Sprintf("seed %d: %d requests, %d served, %d refused, %d cut, %d faults, %d broken",
-		r.Seed, r.Requests, r.Served, r.Refused, r.Cut, len(r.Faults), len(r.Broken))
+		r.Seed, r.Requests, r.Served, r.Refused, r.Interrupted, len(r.Faults), len(r.Violations))
 }
 
-// Run runs the system through the faults of a seed.
+// Run runs the system through the fault plan of a seed and checks the invariants.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	opts = opts.withDefaults()
 	var err error
@@ -94,40 +94,40 @@
 	defer cancel()
 	var out outcomes
 	wait := r.startCallers(ctx, &out)
-	if !tick(ctx, startTime) {
+	if !sleep(ctx, startupTime) {
 		return nil, ctx.Err()
 	}
-	var on spans
-	var c calm
+	var faults faultLog
+	var recovery recoveryPhase
 	switch {
 	case opts.planned != nil:
-		on.run(opts.planned(r))
-		tick(ctx, startTime)
+		faults.run(opts.planned(r))
+		sleep(ctx, startupTime)
 	case opts.Deadly > 0:
-		on.run(r.deadlyPlan(&out))
+		faults.run(r.deadlyPlan(&out))
 	case opts.pushback != noPushback:
-		on.run(r.pushbackPlan())
+		faults.run(r.pushbackPlan())
 	default:
-		on.run(r.plan())
-		c = r.beCalm(ctx, &on)
+		faults.run(r.planFaults())
+		recovery = r.runRecovery(ctx, &faults)
 	}
 	cancel()
 	wait()
-	j := &judge{
-		rig: r, outcomes: out.list(), runs: r.runs.All(), arrivals: r.runs.Arrivals(), spans: on.list(), calm: c, deaths: r.deaths.list(),
-		says: r.runs.Says(),
+	c := &checker{
+		rig: r, outcomes: out.list(), runs: r.runs.All(), arrivals: r.runs.Arrivals(), faultSpans: faults.list(), recovery: recovery, crashes: r.crashes.list(),
+		pushbacks: r.runs.Says(),
 	}
-	return j.result(opts.Seed), nil
+	return c.buildResult(opts.Seed), nil
 }
 
-// startCallers starts callers, probes and the balancer; the function returned waits for their end.
+// startCallers starts the callers, probes and balancer; wait blocks until they have ended.
 func (r *rig) startCallers(ctx context.Context, out *outcomes) (wait func()) {
 	var wg sync.WaitGroup
 	b := newBalancer(r)
-	wg.Go(func() { b.serve(ctx) })
+	wg.Go(func() { b.run(ctx) })
 	for n := range r.opts.Callers {
 		c := newCaller(r, n, b, out)
-		wg.Go(func() { c.serve(ctx) })
+		wg.Go(func() { c.run(ctx) })
 	}
 	for entry := range r.entries {
 		wg.Go(func() { probe(ctx, r, entry, out) })
@@ -135,64 +135,64 @@
 	return wg.Wait
 }
 
-// beCalm ends all harm; once all daemons are in touch an entry is stopped as planned and started again, and then operators
-// change the configuration, name a version and take a server away.
-func (r *rig) beCalm(ctx context.Context, on *spans) calm {
-	for _, ways := range [][]*hop{r.toStore, r.toServer, r.toBox, {r.toOrigin}} {
-		for _, h := range ways {
+// runRecovery ends all faults, stops and restarts one entry once all daemons are connected,
+// then changes the configuration and the version and drains a server.
+func (r *rig) runRecovery(ctx context.Context, faults *faultLog) recoveryPhase {
+	for _, hops := range [][]*hop{r.storeHops, r.serverHops, r.boxHops, {r.originHop}} {
+		for _, h := range hops {
 			h.heal()
 		}
 	}
 	for _, p := range r.daemons() {
 		_ = p.start()
 	}
-	r.beatAll()
-	tick(ctx, bounds.Contact+2*settleTime)
-	on.run([]fault{r.plannedStop()})
-	tick(ctx, bounds.Contact)
-	c := calm{from: time.Now()}
-	c.config = r.declare()
-	c.version = r.nameVersion()
+	r.heartbeatAll()
+	sleep(ctx, bounds.Contact+2*settleTime)
+	faults.run([]fault{r.plannedStop()})
+	sleep(ctx, bounds.Contact)
+	c := recoveryPhase{from: time.Now()}
+	c.config = r.writeConfig()
+	c.target = r.writeTarget()
 	leaving := r.plain[0]
 	leaving.Drain()
-	c.drained, c.drainAt = leaving.ID(), time.Now()
-	tick(ctx, bounds.Version+3*time.Second)
+	c.leavingID, c.drainedAt = leaving.ID(), time.Now()
+	sleep(ctx, bounds.Version+3*time.Second)
 	c.to = time.Now()
 	return c
 }
 
-// plannedStop is the stop of one entry while nothing else goes wrong.
+// plannedStop stops one entry and starts it again.
 func (r *rig) plannedStop() fault {
 	p := r.entries[int(r.opts.Seed)%len(r.entries)]
 	return fault{
-		name: "stop " + p.name, planned: true, lasts: settleTime,
+		name: "stop " + p.name, planned: true, duration: settleTime,
 		do: func() { p.stop(bounds.Grace) }, undo: func() { _ = p.start() },
 	}
 }
 
-// result counts what callers saw and has it judged.
-func (j *judge) result(seed uint64) *Result {
+// buildResult counts the outcomes and checks the invariants.
+func (c *checker) buildResult(seed uint64) *Result {
 	result := &Result{Seed: seed}
-	for _, o := range j.outcomes {
-		if o.kind == kindProbe || o.left {
+	for _, o := range c.outcomes {
+		if o.kind == kindProbe || o.abandoned {
 			continue
 		}
 		result.Requests++
 		switch {
-		case o.answer.Whole():
+		case o.response.Whole():
 			result.Served++
-		case o.answer.Cut != nil:
-			result.Cut++
-		case o.answer.Refused():
+		case o.response.Cut != nil:
+			result.Interrupted++
+		case o.response.Refused():
 			result.Refused++
 		}
 	}
-	slices.SortFunc(j.spans, func(a, b span) int { return a.from.Compare(b.from) })
-	for _, s := range j.spans {
+	slices.SortFunc(c.faultSpans, func(a, b faultSpan) int { return a.from.Compare(b.from) })
+	for _, s := range c.faultSpans {
 		result.Faults = append(result.Faults, fmt.Sprintf("%s  %s for %s",
 			s.from.Format("15:04:05.000"), s.name, s.to.Sub(s.from).Round(time.Millisecond)))
 	}
-	result.Broken = j.judge()
-	result.Lost, result.LimitUse = j.lost, j.limitUse
+	result.Violations = c.check()
+	result.Lost, result.LimitUse = c.lost, c.limitUse
 	return result
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -11,72 +11,72 @@
 	"github.com/coralstair/coralstair/internal/daemoncmd"
 )
 
-// seeds run in CI; each that ever failed stays here, with its cause.
+// seeds run in CI; a seed that ever failed stays, named after the cause.
 var seeds = map[string]uint64{
-	"first":                                 1,
+	"first":                               1,
 	"a piece of an older version turns bad": 32,
 }
 
-// seedsVariable holds more seeds, FROM-TO, for runs by hand.
-const seedsVariable = "CORALSTAIR_SOAK_SEEDS"
+// seedsEnv names the variable with additional seeds, FROM-TO.
+const seedsEnv = "CORALSTAIR_SOAK_SEEDS"
 
 func TestSoak(t *testing.T) {
-	daemon := build(t)
+	daemon := buildDaemon(t)
 	for name, seed := range seeds {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			soakSeed(t, daemon, seed)
 		})
 	}
-	for seed := range moreSeeds(t) {
+	for seed := range extraSeeds(t) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { t.Parallel(); soakSeed(t, daemon, seed) })
 	}
 }
 
-// livesSeeds are those of runs with servers that start again under their ids and entries of other writers that run in CI.
-var livesSeeds = []uint64{1}
+// restartSeeds are the seeds that run in CI.
+var restartSeeds = []uint64{1}
 
-// TestLives proves the same promises while servers start again under their ids and another writer leaves entries on the list.
+// TestLives checks the invariants while servers restart under the same ID and the list has malformed entries.
 func TestLives(t *testing.T) {
-	eachSeed(t, "lives", livesSeeds, func(t *testing.T, opts Options) {
-		opts.Lives = true
+	eachSeed(t, "lives", restartSeeds, func(t *testing.T, opts Options) {
+		opts.Restarts = true
 		run(t, opts)
 	})
 }
 
-// copiesSeeds are those of runs with a store that comes back from copies that run in CI.
-var copiesSeeds = []uint64{1}
+// storeRestoreSeeds are the seeds that run in CI.
+var storeRestoreSeeds = []uint64{1}
 
-// TestCopies proves the same promises while the store comes back from copies of itself.
+// TestCopies checks the invariants while the store is restored from backups.
 func TestCopies(t *testing.T) {
-	eachSeed(t, "copies", copiesSeeds, func(t *testing.T, opts Options) {
-		opts.Copies = true
+	eachSeed(t, "copies", storeRestoreSeeds, func(t *testing.T, opts Options) {
+		opts.StoreRestores = true
 		run(t, opts)
 	})
 }
 
-// eachSeed has a test play some seeds, and those that the environment asks for, beside each other.
+// eachSeed runs a subtest in parallel for each given seed and each seed from the environment.
 func eachSeed(t *testing.T, kind string, seeds []uint64, play func(t *testing.T, opts Options)) {
 	t.Helper()
-	daemon := build(t)
-	more := moreSeeds(t)
+	daemon := buildDaemon(t)
+	more := extraSeeds(t)
 	for _, seed := range seeds {
 		more[seed] = true
 	}
 	for seed := range more {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			play(t, Options{Seed: seed, Daemon: daemon, Dir: logs(t, kind, seed)})
+			play(t, Options{Seed: seed, Daemon: daemon, Dir: logDir(t, kind, seed)})
 		})
 	}
 }
 
-// build returns the daemon's program.
-func build(t *testing.T) string {
+// buildDaemon builds the daemon and returns its path.
+func buildDaemon(t *testing.T) string {
 	t.Helper()
-	// What is called here is linked into the test, so that no result is taken from the cache when the daemon has changed.
+	// Calling the daemon links it into the test, so that a change of it invalidates the cached test result.
 	if code := daemoncmd.Main([]string{"coralstaird", "entry"}); code == 0 {
-		t.Fatal("the daemon runs without settings")
+		t.Fatal("the daemon started without settings")
 	}
 	daemon := filepath.Join(t.TempDir(), "coralstaird")
 	if out, err := exec.Command("go", "build", "-o", daemon, "../cmd/coralstaird").CombinedOutput(); err != nil {
@@ -85,8 +85,8 @@
 	return daemon
 }
 
-// logs returns where the logs of a run go.
-func logs(t *testing.T, kind string, seed uint64) string {
+// logDir returns the folder for the logs of a run.
+func logDir(t *testing.T, kind string, seed uint64) string {
 	t.Helper()
 	keep := os.Getenv("CORALSTAIR_SOAK_LOGS")
 	if keep == "" {
@@ -100,10 +100,10 @@
 }
 
 func soakSeed(t *testing.T, daemon string, seed uint64) {
-	run(t, Options{Seed: seed, Daemon: daemon, Dir: logs(t, "", seed)})
+	run(t, Options{Seed: seed, Daemon: daemon, Dir: logDir(t, "", seed)})
 }
 
-// run fails the test for what a run broke.
+// run fails the test for each violation of a run.
 func run(t *testing.T, opts Options) *Result {
 	t.Helper()
 	result, err := Run(t.Context(), opts)
@@ -111,13 +111,13 @@
 		t.Fatal(err)
 	}
 	t.Log(result)
-	if len(result.Broken) == 0 {
+	if len(result.Violations) == 0 {
 		return result
 	}
 	t.Logf("faults:\n%s", strings.Join(result.Faults, "\n"))
-	for i, broken := range result.Broken {
+	for i, broken := range result.Violations {
 		if i == 20 {
-			t.Errorf("and %d more", len(result.Broken)-i)
+			t.Errorf("%d more violations", len(result.Violations)-i)
 			break
 		}
 		t.Error(broken)
@@ -125,9 +125,9 @@
 	return result
 }
 
-// moreSeeds returns the seeds that the environment asks for.
-func moreSeeds(t *testing.T) map[uint64]bool {
-	from, to, ok := strings.Cut(os.Getenv(seedsVariable), "-")
+// extraSeeds returns the seeds from the environment.
+func extraSeeds(t *testing.T) map[uint64]bool {
+	from, to, ok := strings.Cut(os.Getenv(seedsEnv), "-")
 	seeds := make(map[uint64]bool)
 	if !ok {
 		return seeds
@@ -135,7 +135,7 @@
 	first, err1 := strconv.ParseUint(from, 10, 64)
 	last, err2 := strconv.ParseUint(to, 10, 64)
 	if err1 != nil || err2 != nil {
-		t.Fatalf("%s is FROM-TO", seedsVariable)
+		t.Fatalf("%s must have the form FROM-TO", seedsEnv)
 	}
 	for seed := first; seed <= last; seed++ {
 		seeds[seed] = true
--- a/soak/declare.go
+++ b/soak/storewrite.go
@@ -7,41 +7,41 @@
 	"github.com/coralstair/coralstair/lab/standin"
 )
 
-// declaration is a configuration or a version, and when the store took it.
-type declaration struct {
+// storeWrite is a write of a configuration or a version target, with its time.
+type storeWrite struct {
 	revision int64
 	version  int64
 	sent     time.Time
 	acked    time.Time
 }
 
-// revisionPath returns the path of the route that only one revision has.
+// revisionPath returns the path of a route that exists in one revision only.
 func revisionPath(revision int64) string { return fmt.Sprintf("/revision-%d/", revision) }
 
-// declare has the store take the next configuration: with a route of its own, and from the second on without a key.
-func (r *rig) declare() declaration {
+// writeConfig writes the next configuration revision; oldKey is valid in the first one only.
+func (r *rig) writeConfig() storeWrite {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
-	cfg := r.configuration()
-	d := declaration{revision: r.revision, sent: time.Now()}
+	cfg := r.config()
+	d := storeWrite{revision: r.revision, sent: time.Now()}
 	r.store.Put(standin.TableDeclared, standin.KeyConfig, cfg)
 	d.acked = time.Now()
-	r.declared = append(r.declared, d)
+	r.storeWrites = append(r.storeWrites, d)
 	return d
 }
 
-// configuration returns the configuration of the newest revision; mu is held.
-func (r *rig) configuration() standin.Config {
+// config returns the configuration of the newest revision; r.mu must be held.
+func (r *rig) config() standin.Config {
 	keys := []string{goodKey}
 	if r.revision == 1 {
 		keys = append(keys, oldKey)
 	}
-	size := r.size()
+	load := r.workload()
 	route := func(name, path, kind, service string) standin.Route {
 		return standin.Route{
 			Name: name, Host: host, PathPrefix: path, Kind: kind, GoalMs: 500, Priority: 1, Service: service,
-			TimeoutMs: int((size.patience + time.Second).Milliseconds()), MaxAttempts: 2,
+			TimeoutMs: int((load.timeout + time.Second).Milliseconds()), MaxAttempts: 2,
 		}
 	}
 	stream := route("draft", streamPath, standin.KindStream, modelService)
@@ -51,10 +51,10 @@
 	return standin.Config{
 		Version: r.revision,
 		Routes: []standin.Route{
-			stream, route("confirm", oncePath, standin.KindUnsafe, plainService), route("look", safePath, standin.KindSafe, plainService), own,
+			stream, route("confirm", unsafePath, standin.KindUnsafe, plainService), route("look", safePath, standin.KindSafe, plainService), own,
 		},
 		Services: []standin.Service{
-			{Name: modelService, HealthPath: "/health", MaxConns: 200, Engine: figures(size)},
+			{Name: modelService, HealthPath: "/health", MaxConns: 200, Engine: engineConfig(load)},
 			{Name: plainService, HealthPath: "/health", MaxConns: 100},
 			{Name: originName, MaxConns: 48, Origin: hostPort(r.ip(9, 3), originPort), LinkMbps: 50},
 		},
@@ -63,29 +63,29 @@
 	}
 }
 
-func figures(size size) *standin.Figure {
+func engineConfig(load workload) *standin.Figure {
 	return &standin.Figure{
-		Slots: size.slots, Stride: 1, Chunk: 2048, StepMs: 3, ReadPerS: 50000, Chunks: standin.Pieces, ChunkBytes: standin.PieceBytes,
-		Models: []standin.FigureModel{{Name: model, WarmS: 0.15}}, Usual: standin.Usual{Prompt: 200, Answer: size.tokens + size.spread/2},
+		Slots: load.slots, Stride: 1, Chunk: 2048, StepMs: 3, ReadPerS: 50000, Chunks: standin.Pieces, ChunkBytes: standin.PieceBytes,
+		Models: []standin.FigureModel{{Name: model, WarmS: 0.15}}, Usual: standin.Usual{Prompt: 200, Answer: load.tokens + load.tokenSpread/2},
 	}
 }
 
-// nameVersion has the store take the next version; the first is the one that servers start with and is not named.
-func (r *rig) nameVersion() declaration {
+// writeTarget publishes the next model version and names it as the target; the first is preloaded and not named.
+func (r *rig) writeTarget() storeWrite {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
 	r.origin.Name(r.version)
-	d := declaration{version: r.version, sent: time.Now()}
+	d := storeWrite{version: r.version, sent: time.Now()}
 	if r.version > 1 {
 		r.store.Put(standin.TableDeclared, standin.KeyVersion+model, standin.Target{Model: model, Version: r.version})
 	}
 	d.acked = time.Now()
-	r.declared = append(r.declared, d)
+	r.storeWrites = append(r.storeWrites, d)
 	return d
 }
 
-// current returns the newest revision and version.
+// current returns the newest configuration revision and model version.
 func (r *rig) current() (revision, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
