--- a/cmd/coralstair-lab/main.go
+++ b/cmd/coralstair-lab/main.go
@@ -1,4 +1,4 @@
-// Command coralstair-lab runs the stand-ins and experiments of a developer's machine.
+// Command coralstair-lab runs stand-ins of the platform and experiments for development.
 package main
 
 import (
--- a/cmd/coralstair/main.go
+++ b/cmd/coralstair/main.go
@@ -1,4 +1,4 @@
-// Command coralstair runs the daemons and the operators' commands.
+// Command coralstair runs the daemons and the operator commands.
 package main
 
 import (
--- a/cmd/coralstaird/main.go
+++ b/cmd/coralstaird/main.go
@@ -1,4 +1,4 @@
-// Command coralstaird runs the daemons on the users' platform; it links nothing that only operators' commands need.
+// Command coralstaird runs the daemons on the users' platform, without the dependencies of operator commands.
 package main
 
 import (
