--- a/internal/cmd/boxcmd.go
+++ b/internal/cmd/boxcmd.go
@@ -24,7 +24,7 @@
 }
 
 func (c *Config) runBoxCmd(ctx context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 1, "a settings file"); err != nil {
+	if err := checkArgs(cmd, 1, "a settings file"); err != nil {
 		return err
 	}
 	cfg, err := settings.LoadBox(cmd.Args().First())
@@ -42,7 +42,7 @@
 	pacer := pace.New(cfg.LinkRate)
 	b := box.New(box.Config{
 		ID: cfg.Daemon.ID, Fleet: cfg.Daemon.Fleet, Site: cfg.Daemon.Site, Service: cfg.Service,
-		Kind: fleet.Kind(cfg.Kind), Incarnation: incarnation(), Listener: listener, Advertise: cfg.Advertise,
+		Kind: fleet.Kind(cfg.Kind), Incarnation: newIncarnation(), Listener: listener, Advertise: cfg.Advertise,
 		UpstreamURL: cfg.UpstreamURL, Slots: cfg.Slots, WeightsLimit: cfg.WeightsLimit, Pacer: pacer, DrainLimit: cfg.Daemon.DrainLimit,
 		UncheckedFences: cfg.ChecksFences == "no", Resumes: cfg.Resumes == "yes",
 		Ledger: ledger.New(table), Table: table, Origin: newObjects(cfg.Platform, pacer),
--- a/internal/cmd/checkcmd.go
+++ b/internal/cmd/checkcmd.go
@@ -29,7 +29,7 @@
 	if cmd.Bool("example") {
 		return settings.WriteExample(c.stdout, role)
 	}
-	if err := args(cmd, 2, "a role and a file"); err != nil {
+	if err := checkArgs(cmd, 2, "a role and a file"); err != nil {
 		return err
 	}
 	path := cmd.Args().Get(1)
--- a/internal/cmd/cmd_test.go
+++ b/internal/cmd/cmd_test.go
@@ -21,7 +21,7 @@
 	})
 }
 
-// TestCommandPages keeps a page of each command's help under docs/commands.
+// TestCommandPages checks that each page in docs/commands shows the current help of its command.
 func TestCommandPages(t *testing.T) {
 	for _, name := range []string{"entry", "box", "do", "show", "shell", "publish", "check", "key", "explain", "report", "version"} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestScripts runs each script against a rig of its own: two boxes in two sites, one entry.
+// TestScripts runs each script against a system of two boxes in two sites and one entry.
 func TestScripts(t *testing.T) {
 	log.SetLevel(log.FatalLevel)
 	testscript.Run(t, testscript.Params{
--- a/internal/cmd/config.go
+++ b/internal/cmd/config.go
@@ -13,14 +13,14 @@
 	"github.com/coralstair/coralstair/settings"
 )
 
-// Exit codes of all commands.
+// Exit codes of the commands.
 const (
 	ExitDone   = 0
 	ExitFailed = 1
 	ExitUsage  = 2
 )
 
-// Config carries what the commands share.
+// Config holds the state shared by the commands.
 type Config struct {
 	stdin  io.ReadCloser
 	stdout io.Writer
@@ -32,16 +32,16 @@
 	json    bool
 }
 
-// Option changes a Config; tests use it.
+// Option changes a Config, for tests.
 type Option func(*Config)
 
-// UsageError says that a command was called wrongly.
+// UsageError reports wrong command-line usage.
 type UsageError struct{ Reason string }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e *UsageError) Error() string { return e.Reason }
 
-// NewConfig returns the configuration of a real run, changed by options.
+// NewConfig returns a Config that uses the standard streams, changed by options.
 func NewConfig(options ...Option) *Config {
 	c := &Config{stdin: os.Stdin, stdout: os.Stdout, stderr: os.Stderr, http: http.DefaultClient}
 	for _, option := range options {
@@ -50,7 +50,7 @@
 	return c
 }
 
-// WithOutput sends what commands print to other writers.
+// WithOutput redirects the output of the commands.
 func WithOutput(stdout, stderr io.Writer) Option {
 	return func(c *Config) { c.stdout, c.stderr = stdout, stderr }
 }
@@ -111,8 +111,8 @@
 	return &UsageError{Reason: err.Error()}
 }
 
-// args checks the number of a command's arguments.
-func args(cmd *cli.Command, n int, what string) error {
+// checkArgs checks the number of positional arguments.
+func checkArgs(cmd *cli.Command, n int, what string) error {
 	if cmd.Args().Len() != n {
 		return &UsageError{Reason: fmt.Sprintf("%s takes %s; see coralstair %s --help", cmd.Name, what, cmd.Name)}
 	}
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -19,25 +19,25 @@
 	"github.com/coralstair/coralstair/tracing"
 )
 
-const traceFlush = 2 * time.Second
+const traceFlushTimeout = 2 * time.Second
 
-// daemon is what the entry and the box have in common as processes.
+// daemon is the common interface of the entry and the box.
 type daemon interface {
-	// Serve runs until ctx ends, without draining.
+	// Serve runs until ctx ends and does not drain.
 	Serve(ctx context.Context) error
-	// Leave drains.
+	// Leave drains the daemon.
 	Leave(ctx context.Context)
 }
 
-// runDaemon runs a daemon until a signal; the first asks for a planned stop, a second ends it at once. SIGHUP ends nothing: it
-// is taken apart, so that many of them keep no signal to stop out.
+// runDaemon runs d until a signal: the first SIGTERM or SIGINT starts a drain, a second one ends it.
+// SIGHUP has its own channel, so that many of them cannot crowd out a stop signal.
 func (c *Config) runDaemon(ctx context.Context, d daemon, cfg settings.Daemon, role string) error {
 	shutdown, err := tracing.Setup(ctx, cfg.OTLPURL, "coralstair-"+role, cfg.ID)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		flushCtx, cancel := context.WithTimeout(context.Background(), traceFlush)
+		flushCtx, cancel := context.WithTimeout(context.Background(), traceFlushTimeout)
 		defer cancel()
 		_ = shutdown(flushCtx)
 	}()
@@ -49,7 +49,7 @@
 	defer signal.Stop(hangups)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go passOver(ctx, hangups, role)
+	go ignoreSignals(ctx, hangups, role)
 	go func() {
 		select {
 		case <-signals:
@@ -69,8 +69,8 @@
 	return d.Serve(ctx)
 }
 
-// passOver takes signals that change nothing until ctx ends.
-func passOver(ctx context.Context, signals <-chan os.Signal, role string) {
+// ignoreSignals logs and discards signals until ctx ends.
+func ignoreSignals(ctx context.Context, signals <-chan os.Signal, role string) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -81,13 +81,12 @@
 	}
 }
 
-// setupLog sets the log up as the settings say.
 func (c *Config) setupLog(cfg settings.Daemon) error {
 	return logging.Setup(c.stderr, cfg.LogFormat, cfg.LogLevel)
 }
 
-// incarnation tells daemons at the same address apart; a later one has a greater text.
-func incarnation() string {
+// newIncarnation returns the start time as text, which distinguishes restarts of a daemon and sorts by time.
+func newIncarnation() string {
 	return strconv.FormatInt(time.Now().UnixNano(), 36)
 }
 
@@ -102,7 +101,7 @@
 	})
 }
 
-// newObjects returns the object store, whose reads leave room for requests.
+// newObjects returns an object store client whose downloads yield bandwidth to requests.
 func newObjects(p settings.Platform, pacer *pace.Pacer) *dynamo.Objects {
 	transport := &http.Transport{DialContext: pacer.Dialer(new(net.Dialer).DialContext)}
 	return dynamo.NewObjects(dynamo.ObjectsConfig{
--- a/internal/cmd/doc.go
+++ b/internal/cmd/doc.go
@@ -1,2 +1,2 @@
-// Package cmd holds the commands of coralstair, a file each.
+// Package cmd implements the commands of coralstair, one per file.
 package cmd
--- a/internal/cmd/docmd.go
+++ b/internal/cmd/docmd.go
@@ -22,7 +22,7 @@
 }
 
 func (c *Config) runDoCmd(ctx context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 1, "one statement in quotes"); err != nil {
+	if err := checkArgs(cmd, 1, "one statement in quotes"); err != nil {
 		return err
 	}
 	cl, err := c.client()
--- a/internal/cmd/entrycmd.go
+++ b/internal/cmd/entrycmd.go
@@ -24,7 +24,7 @@
 }
 
 func (c *Config) runEntryCmd(ctx context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 1, "a settings file"); err != nil {
+	if err := checkArgs(cmd, 1, "a settings file"); err != nil {
 		return err
 	}
 	cfg, err := settings.LoadEntry(cmd.Args().First())
@@ -44,7 +44,7 @@
 	}
 	table := newTable(cfg.Platform)
 	e := entry.New(entry.Config{
-		ID: cfg.Daemon.ID, Fleet: cfg.Daemon.Fleet, Site: cfg.Daemon.Site, Incarnation: incarnation(),
+		ID: cfg.Daemon.ID, Fleet: cfg.Daemon.Fleet, Site: cfg.Daemon.Site, Incarnation: newIncarnation(),
 		Listener: listener, Queue: cfg.Queue, Deadline: cfg.Deadline, BodyLimit: cfg.BodyLimit,
 		DrainLimit: cfg.Daemon.DrainLimit,
 		Ledger:     ledger.New(table), Claims: table, Keys: ring,
--- a/internal/cmd/keycmd.go
+++ b/internal/cmd/keycmd.go
@@ -22,7 +22,7 @@
 }
 
 func (c *Config) runKeyCmd(_ context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 2, "a role and a name"); err != nil {
+	if err := checkArgs(cmd, 2, "a role and a name"); err != nil {
 		return err
 	}
 	role := keys.Role(cmd.Args().Get(0))
--- a/internal/cmd/operator.go
+++ b/internal/cmd/operator.go
@@ -18,7 +18,7 @@
 	"github.com/coralstair/coralstair/statement"
 )
 
-// operatorFlags are the flags of the commands that send statements.
+// operatorFlags returns the flags of the commands that send statements.
 func (c *Config) operatorFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringSliceFlag{
@@ -33,7 +33,7 @@
 	}
 }
 
-// client returns the client that the flags describe.
+// client returns a client configured by the flags.
 func (c *Config) client() (*client.Client, error) {
 	if c.keyFile == "" {
 		return nil, &UsageError{Reason: "--key-file or CORALSTAIR_KEY_FILE must be set"}
@@ -48,9 +48,9 @@
 // execute sends one statement and prints its result.
 func (c *Config) execute(ctx context.Context, cl *client.Client, text string, ifRevision fleet.Revision) error {
 	result, err := cl.Do(ctx, text, ifRevision)
-	var answered problem.Problem
-	if errors.As(err, &answered) {
-		return c.refused(answered)
+	var p problem.Problem
+	if errors.As(err, &p) {
+		return c.printProblem(p)
 	}
 	if err != nil {
 		return err
@@ -58,8 +58,8 @@
 	return c.print(result)
 }
 
-// refused prints a refusal in JSON when asked to; a statement that is not understood counts as wrong usage.
-func (c *Config) refused(p problem.Problem) error {
+// printProblem prints a problem in JSON if requested; a syntax error counts as wrong usage.
+func (c *Config) printProblem(p problem.Problem) error {
 	if c.json {
 		if err := json.NewEncoder(c.stdout).Encode(p); err != nil {
 			return err
--- a/internal/cmd/publishcmd.go
+++ b/internal/cmd/publishcmd.go
@@ -18,8 +18,8 @@
 	"github.com/coralstair/coralstair/weights"
 )
 
-// published is what publish prints in JSON.
-type published struct {
+// publishResult is the JSON output of publish.
+type publishResult struct {
 	Name   string `json:"name"`
 	Digest string `json:"digest"`
 	Whole  string `json:"whole"`
@@ -51,7 +51,7 @@
 }
 
 func (c *Config) runPublishCmd(ctx context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 1, "one file"); err != nil {
+	if err := checkArgs(cmd, 1, "one file"); err != nil {
 		return err
 	}
 	chunkSize, err := humanize.ParseBytes(cmd.String("chunk-size"))
@@ -86,13 +86,13 @@
 	if err := errors.Join(err, shutdown(context.WithoutCancel(ctx))); err != nil {
 		return err
 	}
-	return c.printPublished(published{
+	return c.printPublished(publishResult{
 		Name: name, Digest: digest.String(), Whole: manifest.Whole.String(),
 		Size: manifest.Size, Chunks: len(manifest.Chunks),
 	})
 }
 
-func (c *Config) printPublished(p published) error {
+func (c *Config) printPublished(p publishResult) error {
 	if c.json {
 		return json.NewEncoder(c.stdout).Encode(p)
 	}
--- a/internal/cmd/reportcmd.go
+++ b/internal/cmd/reportcmd.go
@@ -17,10 +17,10 @@
 const (
 	flagText = "text"
 	flagOut  = "out"
-	// gzipMagic begins a log that is compressed.
+	// gzipMagic is the file signature of gzip.
 	gzipMagic = "\x1f\x8b"
-	// longInput is the length from which on a bar shows the progress, in bytes.
-	longInput = 64 << 20
+	// progressThreshold is the input size in bytes from which a progress bar is shown.
+	progressThreshold = 64 << 20
 )
 
 func (c *Config) newReportCmd() *cli.Command {
@@ -51,22 +51,22 @@
 			return err
 		}
 	}
-	to := c.stdout
+	w := c.stdout
 	if path := cmd.String(flagOut); path != "" {
 		file, createErr := os.Create(path)
 		if createErr != nil {
 			return createErr
 		}
 		defer func() { err = errors.Join(err, file.Close()) }()
-		to = file
+		w = file
 	}
 	if cmd.Bool(flagText) {
-		return r.Text(to)
+		return r.Text(w)
 	}
-	return r.HTML(to)
+	return r.HTML(w)
 }
 
-// readReportFile reads one log; a long one shows its progress on standard error.
+// readReportFile reads one log and shows a progress bar on standard error for a long one.
 func (c *Config) readReportFile(r *report.Report, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	if info.Size() < longInput {
+	if info.Size() < progressThreshold {
 		return readReport(r, path, file)
 	}
 	bar := progressbar.NewOptions64(info.Size(),
@@ -87,9 +87,9 @@
 	return readReport(r, path, io.TeeReader(file, bar))
 }
 
-// readReport reads a log that may be compressed.
-func readReport(r *report.Report, name string, from io.Reader) error {
-	buffered := bufio.NewReader(from)
+// readReport reads a plain or gzip-compressed log.
+func readReport(r *report.Report, name string, log io.Reader) error {
+	buffered := bufio.NewReader(log)
 	if magic, _ := buffered.Peek(len(gzipMagic)); string(magic) != gzipMagic {
 		return r.Read(name, buffered)
 	}
--- a/internal/cmd/shellcmd.go
+++ b/internal/cmd/shellcmd.go
@@ -29,7 +29,7 @@
 }
 
 func (c *Config) runShellCmd(ctx context.Context, cmd *cli.Command) error {
-	if err := args(cmd, 0, "no arguments"); err != nil {
+	if err := checkArgs(cmd, 0, "no arguments"); err != nil {
 		return err
 	}
 	cl, err := c.client()
@@ -68,7 +68,7 @@
 	}
 }
 
-// completer completes the words with which statements begin.
+// completer completes the keywords of statements.
 func completer() readline.AutoCompleter {
 	item := readline.PcItem
 	tables := []readline.PrefixCompleterInterface{
