--- a/client/client.go
+++ b/client/client.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	answerLimit = 64 << 20
-	callTimeout = 15 * time.Second
+	maxResponseBytes = 64 << 20
+	callTimeout      = 15 * time.Second
 )
 
-// Client sends statements to the first of its entries that answers.
+// Client sends each statement to its entries in order until one responds.
 type Client struct {
 	// Entries are base URLs, such as http://10.0.0.1:7300.
 	Entries []string
@@ -31,17 +31,17 @@
 	HTTP    *http.Client
 }
 
-// NoEntryError says that no entry answered.
+// NoEntryError reports that no entry responded.
 type NoEntryError struct{ Err error }
 
-// Error gives what each entry did.
+// Error returns the error of each entry.
 func (e *NoEntryError) Error() string { return fmt.Sprintf("no entry answered: %v", e.Err) }
 
-// Unwrap returns the causes.
+// Unwrap returns the joined errors.
 func (e *NoEntryError) Unwrap() error { return e.Err }
 
-// Do has a statement carried out. All entries are sent the same operation's id, so that a decision is made once.
-// An error that is a problem.Problem is an entry's answer.
+// Do executes a statement. All entries get the same operation ID, so that it is executed only once.
+// An error of type problem.Problem is the response of an entry.
 func (c *Client) Do(ctx context.Context, text string, ifRevision fleet.Revision) (operate.Result, error) {
 	body, err := json.Marshal(entry.StatementRequest{
 		Statement: text, Operation: uuid.NewString(), IfRevision: ifRevision,
@@ -52,8 +52,8 @@
 	var errs []error
 	for _, base := range c.Entries {
 		result, err := c.send(ctx, base, body)
-		var answered problem.Problem
-		if err == nil || errors.As(err, &answered) {
+		var p problem.Problem
+		if err == nil || errors.As(err, &p) {
 			return result, err
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", base, err))
@@ -79,23 +79,23 @@
 		return operate.Result{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return operate.Result{}, err
 	}
-	return decode(resp, answer)
+	return decode(resp, respBody)
 }
 
-func decode(resp *http.Response, answer []byte) (operate.Result, error) {
+func decode(resp *http.Response, body []byte) (operate.Result, error) {
 	if resp.StatusCode != http.StatusOK {
 		var p problem.Problem
-		if err := json.Unmarshal(answer, &p); err != nil || p.Status == 0 {
+		if err := json.Unmarshal(body, &p); err != nil || p.Status == 0 {
 			return operate.Result{}, fmt.Errorf("status %s", resp.Status)
 		}
 		return operate.Result{}, p
 	}
 	var result operate.Result
-	if err := json.Unmarshal(answer, &result); err != nil {
+	if err := json.Unmarshal(body, &result); err != nil {
 		return operate.Result{}, err
 	}
 	return result, nil
