--- a/problem/doc.go
+++ b/problem/doc.go
@@ -1,2 +1,2 @@
-// Package problem writes errors to callers and operators as problem+json (RFC 9457).
+// Package problem encodes errors as problem+json (RFC 9457).
 package problem
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -11,24 +11,23 @@
 // ContentType is the media type of a problem.
 const ContentType = "application/problem+json"
 
-// Problem is one error as a caller reads it.
+// Problem is an error response to a caller or an operator.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome says what became of the request: not-run or unknown; empty where nothing was to run.
-	Outcome string `json:"outcome,omitempty"`
-	// RequestID is the request that it is about.
+	// Outcome is not-run or unknown, or empty if there was no request to run.
+	Outcome   string `json:"outcome,omitempty"`
 	RequestID string `json:"request_id,omitempty"`
-	// Line and Column are where a statement is not understood.
+	// Line and Column are the position of a syntax error in a statement.
 	Line   int `json:"line,omitempty"`
 	Column int `json:"column,omitempty"`
-	// RetryAfter is when to come back; it is sent as a header in whole seconds.
+	// RetryAfter is sent as the Retry-After header, rounded up to whole seconds.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// New returns a problem of a kind; slug names the kind in its type.
+// New returns a problem with a status; slug is the last part of its type URN.
 func New(status int, slug, detail string) Problem {
 	return Problem{
 		Type: "urn:coralstair:problem:" + slug, Title: http.StatusText(status),
@@ -36,34 +35,34 @@
 	}
 }
 
-// Error gives the detail.
+// Error returns the title and the detail.
 func (p Problem) Error() string { return p.Title + ": " + p.Detail }
 
-// WithOutcome returns the problem with what became of the request.
+// WithOutcome returns a copy with the request's outcome.
 func (p Problem) WithOutcome(outcome string) Problem {
 	p.Outcome = outcome
 	return p
 }
 
-// WithPlace returns the problem with a place in a statement.
+// WithPlace returns a copy with a position in a statement.
 func (p Problem) WithPlace(line, column int) Problem {
 	p.Line, p.Column = line, column
 	return p
 }
 
-// WithRequestID returns the problem with the request that it is about.
+// WithRequestID returns a copy with the request's ID.
 func (p Problem) WithRequestID(id string) Problem {
 	p.RequestID = id
 	return p
 }
 
-// WithRetryAfter returns the problem with the time after which to come back.
+// WithRetryAfter returns a copy with a retry delay.
 func (p Problem) WithRetryAfter(d time.Duration) Problem {
 	p.RetryAfter = d
 	return p
 }
 
-// Write sends the problem as the whole answer.
+// Write writes the problem as the complete response.
 func (p Problem) Write(w http.ResponseWriter) {
 	if p.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(p.RetryAfter.Seconds()))))
