--- a/tracing/doc.go
+++ b/tracing/doc.go
@@ -1,3 +1,3 @@
-// Package tracing makes a span for each hop of a request and of a rollout, and
-// carries the trace between processes in the traceparent header.
+// Package tracing creates spans for the hops of requests and rollouts and propagates the trace context
+// in the traceparent header.
 package tracing
--- a/tracing/tracing.go
+++ b/tracing/tracing.go
@@ -17,8 +17,8 @@
 
 var propagator = propagation.TraceContext{}
 
-// Setup exports spans by OTLP over HTTP to an endpoint URL; an empty endpoint leaves tracing off.
-// The function it returns sends what is left and ends the export.
+// Setup exports spans by OTLP over HTTP to an endpoint URL; an empty endpoint disables tracing.
+// The returned function flushes pending spans and shuts the exporter down.
 func Setup(ctx context.Context, endpoint, service, instance string) (func(context.Context) error, error) {
 	if endpoint == "" {
 		return func(context.Context) error { return nil }, nil
@@ -36,17 +36,17 @@
 	return provider.Shutdown, nil
 }
 
-// Extract returns ctx with the trace that a header carries.
+// Extract returns ctx with the trace context of a header.
 func Extract(ctx context.Context, header http.Header) context.Context {
 	return propagator.Extract(ctx, propagation.HeaderCarrier(header))
 }
 
-// Inject writes the trace of ctx into a header; a header that carries the caller's trace keeps it when tracing is off.
+// Inject writes the trace context of ctx into a header; without tracing, the caller's trace context is passed on unchanged.
 func Inject(ctx context.Context, header http.Header) {
 	propagator.Inject(ctx, propagation.HeaderCarrier(header))
 }
 
-// Start begins the span of a hop.
+// Start starts a span named after the hop.
 func Start(ctx context.Context, hop string, attrs ...attribute.KeyValue) (context.Context, trace.Span) {
 	return otel.Tracer(tracerName).Start(ctx, hop, trace.WithAttributes(attrs...))
 }
