--- a/soak/fault.go
+++ b/soak/fault.go
@@ -133,18 +133,18 @@
 		return fmt.Sprintf("%s hop %d", name, i+1), hops[name][i]
 	}
 	directions := []string{toServer, toCaller}
-	harm := func(what string, do func(h *hop, direction string)) func() fault {
+	newFault := func(name string, do func(h *hop, direction string)) func() fault {
 		return func() fault {
-			name, h := draw()
+			hopName, h := draw()
 			direction := directions[intN(2)]
-			return fault{name: what + " " + name + " " + direction, do: func() { do(h, direction) }, undo: h.heal}
+			return fault{name: name + " " + hopName + " " + direction, do: func() { do(h, direction) }, undo: h.heal}
 		}
 	}
 	return []func() fault{
-		harm("delay", func(h *hop, direction string) { h.delay(direction, 150) }),
-		harm("blackhole", func(h *hop, direction string) { h.blackhole(direction) }),
-		harm("throttle", func(h *hop, direction string) { h.throttle(direction, 40) }),
-		harm("disconnect", func(h *hop, _ string) { h.disconnect() }),
+		newFault("delay", func(h *hop, direction string) { h.delay(direction, 150) }),
+		newFault("blackhole", func(h *hop, direction string) { h.blackhole(direction) }),
+		newFault("throttle", func(h *hop, direction string) { h.throttle(direction, 40) }),
+		newFault("disconnect", func(h *hop, _ string) { h.disconnect() }),
 	}
 }
 
@@ -176,15 +176,15 @@
 // serverFaults are faulty responses, corrupt pieces and crashes of servers.
 func (r *rig) serverFaults(intN func(int) int) []func() fault {
 	servers := r.servers()
-	harm := func(what string, harm standin.Harm) func() fault {
+	newFault := func(name string, harm standin.Harm) func() fault {
 		return func() fault {
 			s := servers[intN(len(servers))]
-			return fault{name: what + " " + s.Address, do: func() { s.SetHarm(harm) }, undo: func() { s.SetHarm(standin.Harm{}) }}
+			return fault{name: name + " " + s.Address, do: func() { s.SetHarm(harm) }, undo: func() { s.SetHarm(standin.Harm{}) }}
 		}
 	}
 	return []func() fault{
-		harm("hang", standin.Harm{Hang: true}), harm("lose responses of", standin.Harm{Lose: 4}), harm("truncate responses of", standin.Harm{Tear: 4}),
-		harm("surplus responses of", standin.Harm{Surplus: 3}), harm("fail requests at", standin.Harm{Fail: 3}), harm("shed load at", standin.Harm{Shed: 2}),
+		newFault("hang", standin.Harm{Hang: true}), newFault("lose responses of", standin.Harm{Lose: 4}), newFault("truncate responses of", standin.Harm{Tear: 4}),
+		newFault("surplus responses of", standin.Harm{Surplus: 3}), newFault("fail requests at", standin.Harm{Fail: 3}), newFault("shed load at", standin.Harm{Shed: 2}),
 		func() fault {
 			s := r.engines[intN(len(r.engines))]
 			piece := intN(standin.Pieces)
@@ -264,12 +264,12 @@
 	for _, f := range plan {
 		wg.Go(func() {
 			time.Sleep(time.Until(began.Add(f.at)))
-			on := faultSpan{name: f.name, planned: f.planned, from: time.Now()}
+			span := faultSpan{name: f.name, planned: f.planned, from: time.Now()}
 			f.do()
 			time.Sleep(f.duration)
 			f.undo()
-			on.to = time.Now()
-			s.add(on)
+			span.to = time.Now()
+			s.add(span)
 		})
 	}
 	wg.Wait()
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -140,11 +140,11 @@
 	probes := slices.DeleteFunc(slices.Clone(c.outcomes), func(o outcome) bool { return o.kind != kindProbe })
 	slices.SortFunc(probes, func(a, b outcome) int { return a.sent.Compare(b.sent) })
 	for _, o := range probes {
-		of := incarnation{o.entry, o.incarnation}
+		key := incarnation{o.entry, o.incarnation}
 		switch {
 		case o.response.Status == 200:
-			newest[of] = max(newest[of], o.revision)
-		case o.response.Denied() && newest[of] >= o.revision && !c.superseded(o.revision, o.sent):
+			newest[key] = max(newest[key], o.revision)
+		case o.response.Denied() && newest[key] >= o.revision && !c.superseded(o.revision, o.sent):
 			c.reportf("configuration: entry %d reverted to a configuration older than revision %d", o.entry+1, o.revision)
 		}
 	}
--- a/soak/planned_test.go
+++ b/soak/planned_test.go
@@ -76,16 +76,16 @@
 			at += least + time.Duration(rng.Int64N(int64(spread)))
 		}
 	}
-	nothing := func() {}
+	noop := func() {}
 	every(2*time.Second, 2*time.Second, func(int) fault {
-		return fault{name: "version", do: func() { r.writeTarget() }, undo: nothing}
+		return fault{name: "version", do: func() { r.writeTarget() }, undo: noop}
 	})
 	every(time.Second, 2*time.Second, func(int) fault {
-		return fault{name: "configuration", do: func() { r.writeConfig() }, undo: nothing}
+		return fault{name: "configuration", do: func() { r.writeConfig() }, undo: noop}
 	})
 	every(time.Second, time.Second, func(int) fault {
 		p := all[rng.IntN(len(all))]
-		return fault{name: "reload " + p.name, do: func() { reload(p) }, undo: nothing}
+		return fault{name: "reload " + p.name, do: func() { reload(p) }, undo: noop}
 	})
 	every(3*time.Second, 2*time.Second, func(n int) fault {
 		s := servers[n%len(servers)]
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -47,9 +47,9 @@
 	rng := rand.New(rand.NewPCG(r.opts.Seed, 9))
 	half := r.opts.FaultPeriod / 2
 	var plan []fault
-	for _, of := range [][]*standin.Server{r.engines, r.plain} {
-		for _, i := range rng.Perm(len(of))[:len(of)/pushbackServerDivisor] {
-			f := r.pushbackFault(of[i], rng)
+	for _, servers := range [][]*standin.Server{r.engines, r.plain} {
+		for _, i := range rng.Perm(len(servers))[:len(servers)/pushbackServerDivisor] {
+			f := r.pushbackFault(servers[i], rng)
 			f.at, f.duration = time.Duration(rng.Int64N(int64(half))), half
 			plan = append(plan, f)
 		}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,7 +13,7 @@
 
 // seeds run in CI; a seed that ever failed stays, named after the cause.
 var seeds = map[string]uint64{
-	"first":                               1,
+	"first":                                 1,
 	"a piece of an older version turns bad": 32,
 }
 
