--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -13,15 +13,15 @@
 // TestFirstTriesGoBeforeRetries checks that under load a retry is refused while first tries are admitted, whatever the callers'
 // timeouts, and that it is admitted when no first try is refused.
 func TestFirstTriesGoBeforeRetries(t *testing.T) {
-	server := newFake(t, streaming("s", 1, finish))
-	w := newEngineWorld(t, server.address)
+	server := newFakeServer(t, streamEvents("s", 1, writeLastChunk))
+	w := newModelTestEnv(t, server.address)
 	ask := func(body string, wait time.Duration) int {
 		headers := map[string]string{"Wait": strconv.FormatInt(wait.Milliseconds(), 10)}
 		return w.ask(http.MethodPost, "/stream/a", body, headers).status
 	}
 	reportWaiting := func(waiting int) {
-		w.entry.upstreams.heard(link.Report{
-			Server: serverName(0), Model: engineModel, Version: 1, Running: 8, Waiting: waiting,
+		w.entry.upstreams.applyReport(link.Report{
+			Server: serverName(0), Model: testModel, Version: 1, Running: 8, Waiting: waiting,
 		}, time.Now())
 	}
 	reportWaiting(14)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -31,7 +31,7 @@
 type attempt struct {
 	call         *call
 	choice       choice
-	ticket       *ticket
+	ticket       *inFlightRequest
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	silenceTimer *time.Timer
@@ -51,7 +51,7 @@
 	conn          *conn
 	writtenBefore int64
 	resp          *http.Response
-	reply         Reply
+	reply         ResponseInfo
 	// complete is a whole response. For a stream, events is the reader, nextEvent the first event the caller lacks,
 	// and streamEnded is set when there is none.
 	complete    *response
@@ -62,17 +62,17 @@
 
 // exchange sends the request and returns once there is a complete response or, for a stream, the first event that the
 // caller lacks.
-func (a *attempt) exchange() (step, error) {
-	send := Send{}
+func (a *attempt) exchange() (attemptResult, error) {
+	send := AttemptInfo{}
 	a.lastEvent = a.call.ask.LastEvent
 	s := a.callerStream()
 	if s != nil {
 		a.lastEvent = s.startBuffering(a)
-		send = Send{LastEvent: a.lastEvent, Version: s.version}
+		send = AttemptInfo{LastEvent: a.lastEvent, Version: s.version}
 	}
 	if current, live := a.state(); !live || current != s {
 		// Another attempt has won meanwhile: nothing is sent, and no events are buffered.
-		return stepNotRun, cmp.Or(context.Cause(a.ctx), context.Canceled)
+		return resultNotRun, cmp.Or(context.Cause(a.ctx), context.Canceled)
 	}
 	if result, err := a.send(send); err != nil {
 		return result, err
@@ -81,7 +81,7 @@
 	case a.isStream():
 		return a.readFirstEvent()
 	case s != nil:
-		return stepLost, &InvalidResponseError{Reason: "resume refused: " + a.resp.Status}
+		return resultLost, &InvalidResponseError{Reason: "resume refused: " + a.resp.Status}
 	default:
 		return a.readComplete()
 	}
@@ -107,13 +107,13 @@
 	if a.versionTimer != nil {
 		a.versionTimer.Stop()
 	}
-	a.ticket.end()
+	a.ticket.release()
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
 	a.cancel(nil)
 	if a.conn != nil {
-		a.conn.end(a.reply.KeepAlive)
+		a.conn.endRequest(a.reply.KeepAlive)
 	}
 }
 
@@ -125,55 +125,55 @@
 }
 
 // send sends the request and checks the response header.
-func (a *attempt) send(extra Send) (step, error) {
+func (a *attempt) send(extra AttemptInfo) (attemptResult, error) {
 	req := a.request(extra)
 	transport := a.call.entry.transport
 	if a.newConn {
-		transport = a.call.entry.fresh
+		transport = a.call.entry.oneShotTransport
 	}
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return a.sendFailed(err)
 	}
 	a.resp = resp
-	a.reply = a.call.entry.cfg.Wire.Reply(resp)
+	a.reply = a.call.entry.cfg.Wire.ParseResponse(resp)
 	if err := a.checkHeader(); err != nil {
 		a.closeConn()
-		return stepLost, err
+		return resultLost, err
 	}
 	a.applyPushback()
 	if a.reply.NotRun {
 		return a.handleNotRun()
 	}
-	return stepDone, nil
+	return resultDone, nil
 }
 
 // sendFailed returns resultNotRun for a request that can't have reached the server, resultLost for one that may have.
-func (a *attempt) sendFailed(err error) (step, error) {
+func (a *attempt) sendFailed(err error) (attemptResult, error) {
 	if cause := context.Cause(a.ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		err = cause
 	}
 	now := clock.Now()
 	if a.conn == nil {
 		if a.ctx.Err() == nil {
-			a.choice.up.unreachable(now)
+			a.choice.upstream.recordUnreachable(now)
 		}
-		return stepNotRun, err
+		return resultNotRun, err
 	}
 	if a.conn.written.Load() == a.writtenBefore {
 		a.closeConn()
-		return stepNotRun, err
+		return resultNotRun, err
 	}
-	return stepLost, err
+	return resultLost, err
 }
 
 // handleNotRun handles a response that says that the server did not run the request.
-func (a *attempt) handleNotRun() (step, error) {
+func (a *attempt) handleNotRun() (attemptResult, error) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(a.resp.Body, connBuffer))
 	if a.resp.StatusCode == http.StatusMisdirectedRequest {
-		a.choice.up.deny(clock.Now())
+		a.choice.upstream.recordMisdirected(clock.Now())
 	}
-	return stepNotRun, &InvalidResponseError{Reason: a.resp.Status + ", not run"}
+	return resultNotRun, &InvalidResponseError{Reason: a.resp.Status + ", not run"}
 }
 
 // checkHeader checks that the response belongs to this request.
@@ -203,21 +203,21 @@
 
 // readComplete reads the whole response before any of it is relayed. A 5xx response is kept in case no other server
 // answers.
-func (a *attempt) readComplete() (step, error) {
+func (a *attempt) readComplete() (attemptResult, error) {
 	body, err := io.ReadAll(io.LimitReader(&progressReader{a: a, r: a.resp.Body}, maxComplete+1))
 	if err == nil && len(body) > maxComplete {
 		err = &InvalidResponseError{Reason: "body is too long"}
 	}
 	if err != nil {
-		return stepLost, a.abort(err)
+		return resultLost, a.abort(err)
 	}
 	a.stopSilenceTimer()
 	a.complete = &response{status: a.resp.StatusCode, header: a.resp.Header, body: body}
 	if a.complete.status >= http.StatusInternalServerError {
-		return stepFailed, &InvalidResponseError{Reason: a.resp.Status}
+		return resultFailed, &InvalidResponseError{Reason: a.resp.Status}
 	}
-	a.ticket.begun(clock.Now())
-	return stepDone, nil
+	a.ticket.recordFirstEvent(clock.Now())
+	return resultDone, nil
 }
 
 // progressReader restarts the silence timeout whenever data arrives, so that a long response isn't taken for a silent
@@ -237,27 +237,27 @@
 }
 
 // readFirstEvent reads a stream up to the first event that the caller lacks, or to its end.
-func (a *attempt) readFirstEvent() (step, error) {
+func (a *attempt) readFirstEvent() (attemptResult, error) {
 	a.events = bufio.NewReaderSize(a.resp.Body, connBuffer)
 	for {
 		event, err := readEvent(a.events, a.nextEvent[:0])
 		if errors.Is(err, io.EOF) && len(event) == 0 {
 			a.streamEnded = true
-			return stepDone, nil
+			return resultDone, nil
 		}
 		if err != nil {
-			return stepLost, a.abort(err)
+			return resultLost, a.abort(err)
 		}
 		if a.nextEvent = event; alreadySent(eventID(event), a.lastEvent) {
 			continue
 		}
 		if version, changes := a.call.entry.cfg.Wire.EventVersion(event); changes && version != a.expectedVersion() {
 			a.closeConn()
-			return stepLost, &InvalidResponseError{Reason: "version changes within the stream"}
+			return resultLost, &InvalidResponseError{Reason: "version changes within the stream"}
 		}
 		a.stopSilenceTimer()
-		a.ticket.begun(clock.Now())
-		return stepDone, nil
+		a.ticket.recordFirstEvent(clock.Now())
+		return resultDone, nil
 	}
 }
 
--- a/forward/boxlinks.go
+++ b/forward/boxlinks.go
@@ -200,7 +200,7 @@
 		timeout.Reset(reportTimeout)
 		switch msg := msg.(type) {
 		case *link.Report:
-			bl.entry.upstreams.heard(*msg, clock.Now())
+			bl.entry.upstreams.applyReport(*msg, clock.Now())
 			bl.entry.cfg.View.OfferRevision(msg.Revision)
 			bl.updateEntryCount(address, msg)
 		case *link.Follow:
--- a/forward/boxlinks_test.go
+++ b/forward/boxlinks_test.go
@@ -36,7 +36,7 @@
 			defer conn.Close()
 			once := links.Add(1) == 1 && silent
 			go func() {
-				for conn.Send(conn.Context(), &link.Report{Server: server, Model: engineModel, Version: 1}) == nil && !once {
+				for conn.Send(conn.Context(), &link.Report{Server: server, Model: testModel, Version: 1}) == nil && !once {
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
@@ -50,7 +50,7 @@
 		return &links
 	}
 	stopped, reporting := box("127.0.9.1", serverName(0), true), box("127.0.9.2", serverName(1), false)
-	w := newEngineWorld(t, "127.0.9.1:1", "127.0.9.2:1")
+	w := newModelTestEnv(t, "127.0.9.1:1", "127.0.9.2:1")
 	w.entry.cfg.Machine.LinkPort = port
 	go func() { _ = w.entry.boxLinks.serve(t.Context()) }()
 	for deadline := time.Now().Add(reportTimeout + 3*time.Second); stopped.Load() < 2; time.Sleep(10 * time.Millisecond) {
--- a/forward/call.go
+++ b/forward/call.go
@@ -33,19 +33,19 @@
 	entry   *Entry
 	w       http.ResponseWriter
 	r       *http.Request
-	ask     Ask
+	ask     RequestInfo
 	route   *contract.Route
 	service *contract.Service
 	team    *contract.Team
 	body    []byte
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	started time.Time
-	ends    time.Time
-	config  contract.Revision
+	ctx      context.Context
+	cancel   context.CancelFunc
+	started  time.Time
+	deadline time.Time
+	config   contract.Revision
 	// sinceFirst is the time since the caller's first try as far as the entry knows; 0 on a first try.
-	waited time.Duration
+	sinceFirst time.Duration
 
 	// mu guards the fields below: attempts run in goroutines of their own, next to the call's.
 	mu sync.Mutex
@@ -71,11 +71,11 @@
 	refusalCount int
 	// excluded are servers that are not tried again; refusedAt is when those of them that did not run the request
 	// refused it.
-	not       map[string]bool
+	excluded  map[string]bool
 	refusedAt map[string]time.Time
 	// mayHaveRun is set once an attempt was lost without a response.
 	mayHaveRun      bool
-	last            choice
+	lastChoice      choice
 	firstEventAfter time.Duration
 	tries           []string
 
@@ -88,27 +88,27 @@
 // failure is how an attempt without a usable response ended.
 type failure struct {
 	response *response
-	result   step
+	result   attemptResult
 	err      error
 }
 
 // attemptResult is how one attempt ended.
-type step int
+type attemptResult int
 
 const (
 	// resultDone means that the caller has its response, complete or cut.
-	stepDone step = iota
+	resultDone attemptResult = iota
 	// resultNotRun means that the server did not run the request.
-	stepNotRun
+	resultNotRun
 	// resultLost means that the request may have run, without a response.
-	stepLost
+	resultLost
 	// resultFailed means that the server ran the request and responded with a 5xx status, which is kept.
-	stepFailed
+	resultFailed
 )
 
 // run sends the request until it is answered or no further attempt is allowed.
 func (c *call) run(ctx context.Context) {
-	ctx, c.cancel = context.WithTimeout(ctx, clock.Until(c.ends))
+	ctx, c.cancel = context.WithTimeout(ctx, clock.Until(c.deadline))
 	defer c.cancel()
 	defer c.finish()
 	c.ctx, c.wake, c.refusedAt = ctx, make(chan struct{}, 1), make(map[string]time.Time)
@@ -120,7 +120,7 @@
 	c.entry.calls.add(c)
 	defer c.entry.calls.remove(c)
 	c.entry.admission.Of(c.service.Name).Note(c.admissionAsk(), c.started)
-	c.waited = c.sinceFirstTry()
+	c.sinceFirst = c.sinceFirstTry()
 	var kept *response
 	var err error
 	for {
@@ -134,7 +134,7 @@
 			winner, failures = c.waitResult()
 			for _, f := range failures {
 				err = f.err
-				c.mayHaveRun = c.mayHaveRun || f.result == stepLost
+				c.mayHaveRun = c.mayHaveRun || f.result == resultLost
 				if f.response != nil {
 					kept = f.response
 				}
@@ -174,8 +174,8 @@
 func (c *call) noServerBy(until time.Time) bool {
 	now := clock.Now()
 	c.mu.Lock()
-	excluded := make(map[string]bool, len(c.not))
-	for id := range c.not {
+	excluded := make(map[string]bool, len(c.excluded))
+	for id := range c.excluded {
 		excluded[id] = c.refusedAt[id].IsZero()
 	}
 	c.mu.Unlock()
@@ -186,7 +186,7 @@
 func (c *call) sendNext() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sends == 0 && !c.endsInTime(clock.Now()) {
+	if c.sends == 0 && !c.finishesBeforeLeave(clock.Now()) {
 		return errLeaving
 	}
 	if c.quarantined() {
@@ -215,7 +215,7 @@
 	defer a.close()
 	c.firstEventAfter = clock.Since(c.started)
 	a.complete.writeTo(c.w, c.entry.leaving.Load())
-	c.recordResult(a, stepDone, nil)
+	c.recordResult(a, resultDone, nil)
 	c.outcome("answered", a.complete.status, nil)
 }
 
@@ -237,7 +237,7 @@
 
 // chooseNext chooses the next server; mu is held.
 func (c *call) chooseNext() (choice, error) {
-	ch, ok := c.entry.choose(c.wanted(), clock.Now())
+	ch, ok := c.entry.choose(c.requirements(), clock.Now())
 	if !ok {
 		return choice{}, &NoServerError{Service: c.service.Name, Reason: "none accepts the request now"}
 	}
@@ -248,9 +248,9 @@
 }
 
 // requirements returns what a server must satisfy to take the request.
-func (c *call) wanted() wanted {
-	return wanted{
-		service: c.service, model: c.model(), prompt: c.ask.Prompt, answer: c.ask.answer(), not: c.not,
+func (c *call) requirements() requirements {
+	return requirements{
+		service: c.service, model: c.model(), promptTokens: c.ask.PromptTokens, answerTokens: c.ask.answer(), excluded: c.excluded,
 		urgent: c.urgent, movable: c.route.Repeatable() && c.sends+1 < c.route.Attempts,
 	}
 }
@@ -261,8 +261,8 @@
 	if c.service.Engine == nil || c.route.Goal <= 0 {
 		return true
 	}
-	own := engine.First(c.service.Engine, ch.load, c.ask.Prompt) - engine.First(c.service.Engine, ch.load, 1)
-	return c.entry.admission.Of(c.service.Name).LetIn(c.admissionAsk(), c.waited, ch.first-own)
+	own := engine.First(c.service.Engine, ch.load, c.ask.PromptTokens) - engine.First(c.service.Engine, ch.load, 1)
+	return c.entry.admission.Of(c.service.Name).LetIn(c.admissionAsk(), c.sinceFirst, ch.first-own)
 }
 
 // admissionAsk describes the request to admission control.
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -10,7 +10,7 @@
 )
 
 // activeRequest is a caller's request in progress.
-type running struct {
+type activeRequest struct {
 	id, route string
 	started   time.Time
 }
@@ -32,14 +32,14 @@
 type callerConns struct {
 	mu      sync.Mutex
 	conns   map[net.Conn]*callerConn
-	running map[*running]struct{}
+	running map[*activeRequest]struct{}
 	// lastActivity is when a connection or a request last arrived.
 	lastActivity time.Time
 }
 
 // setState records a connection's new state. If a request header was read while closing had begun, the closing is
 // undone and the request is served.
-func (c *callerConns) note(conn net.Conn, state http.ConnState) {
+func (c *callerConns) setState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -65,26 +65,26 @@
 }
 
 // addRequest registers a request in progress until removeRequest.
-func (c *callerConns) begin(r *running) *running {
+func (c *callerConns) addRequest(r *activeRequest) *activeRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running == nil {
-		c.running = make(map[*running]struct{})
+		c.running = make(map[*activeRequest]struct{})
 	}
 	c.running[r] = struct{}{}
 	return r
 }
 
-func (c *callerConns) end(r *running) {
+func (c *callerConns) removeRequest(r *activeRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, r)
 }
 
-func (c *callerConns) inProgress() []running {
+func (c *callerConns) inProgress() []activeRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	all := make([]running, 0, len(c.running))
+	all := make([]activeRequest, 0, len(c.running))
 	for r := range c.running {
 		all = append(all, *r)
 	}
@@ -93,7 +93,7 @@
 
 // drained reports whether no request is in progress, none arrived lately, and every connection has been idle for
 // longer than callers reuse one.
-func (c *callerConns) settled(now time.Time, rest time.Duration) bool {
+func (c *callerConns) drained(now time.Time, rest time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
@@ -101,11 +101,11 @@
 			return false
 		}
 	}
-	return now.Sub(c.lastActivity) >= quietTime
+	return now.Sub(c.lastActivity) >= quietPeriod
 }
 
 // reusable counts the connections without a request on which one may still arrive.
-func (c *callerConns) kept(now time.Time, rest time.Duration) int {
+func (c *callerConns) reusable(now time.Time, rest time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -120,11 +120,11 @@
 // closeIdle begins to close all idle connections and reports whether none is left. An expired read deadline does
 // that: a request whose header was already read is still served, any other is dropped with its connection and runs
 // nowhere.
-func (c *callerConns) closeResting(now time.Time) bool {
+func (c *callerConns) closeIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for conn, known := range c.conns {
-		if known.state == http.StateIdle || known.state == http.StateNew && now.Sub(known.since) >= quietTime {
+		if known.state == http.StateIdle || known.state == http.StateNew && now.Sub(known.since) >= quietPeriod {
 			known.closing = true
 			_ = conn.SetReadDeadline(time.Unix(1, 0))
 		}
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -26,20 +26,20 @@
 			go func() { _, _ = theirs.Write([]byte("ab")) }()
 			var conns callerConns
 			for _, state := range test.states {
-				conns.note(ours, state)
+				conns.setState(ours, state)
 			}
-			if conns.closeResting(time.Now()) {
+			if conns.closeIdle(time.Now()) {
 				t.Error("closeIdle reports that no connection is left")
 			}
 			if _, err := ours.Read(make([]byte, 1)); (err != nil) != test.closes {
 				t.Errorf("reading: %v, want closed %v", err, test.closes)
 			}
-			conns.note(ours, http.StateActive)
+			conns.setState(ours, http.StateActive)
 			if _, err := ours.Read(make([]byte, 1)); err != nil {
 				t.Errorf("the request whose header was read is not served: %v", err)
 			}
-			conns.note(ours, http.StateClosed)
-			if !conns.closeResting(time.Now()) {
+			conns.setState(ours, http.StateClosed)
+			if !conns.closeIdle(time.Now()) {
 				t.Error("a closed connection is kept")
 			}
 		})
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -32,28 +32,28 @@
 )
 
 // requirements are what a server must satisfy to take a request.
-type wanted struct {
-	service *contract.Service
-	model   string
-	prompt  int
-	answer  int
+type requirements struct {
+	service      *contract.Service
+	model        string
+	promptTokens int
+	answerTokens int
 	// version is the only version that may answer; 0 for any.
 	version contract.Version
 	// urgent requests are admitted before waiting ones; movable ones may continue at another server later.
 	urgent  bool
 	movable bool
 	// minOpen is the minimum time until the server closes to load another version.
-	minOpen time.Duration
-	not     map[string]bool
+	minOpen  time.Duration
+	excluded map[string]bool
 	// entries is the number of entries that share a server's limit.
 	entries int
 }
 
 // choice is a server with its predictions.
 type choice struct {
-	up      *upstream
-	server  contract.Server
-	version contract.Version
+	upstream *upstream
+	server   contract.Server
+	version  contract.Version
 	// entries is the number of entries that share the server's limit.
 	entries int
 	// first is the predicted time to the first event, or to a plain response; cost adds penalties such as that of
@@ -66,23 +66,23 @@
 	closesIn time.Duration
 	overrun  time.Duration
 	// candidates is the number of servers that could be chosen.
-	among int
+	candidates int
 	// reportAge is the age of the latest report of the server's box; 0 without one.
 	reportAge time.Duration
 }
 
 // choose returns the server with the lowest cost. Servers outside the entry's subset are tried only when none inside
 // can take the request; ok is false when none can at all.
-func (e *Entry) choose(want wanted, now time.Time) (best choice, ok bool) {
-	want.entries = e.sharers()
-	if best, ok = e.chooseAmong(e.upstreams.of(want.service.Name), want, now); ok {
+func (e *Entry) choose(want requirements, now time.Time) (best choice, ok bool) {
+	want.entries = e.limitSharers()
+	if best, ok = e.chooseAmong(e.upstreams.preferred(want.service.Name), want, now); ok {
 		return best, true
 	}
-	return e.chooseAmong(e.upstreams.besides(want.service.Name), want, now)
+	return e.chooseAmong(e.upstreams.fallback(want.service.Name), want, now)
 }
 
 // chooseAmong chooses among ups. Ejected servers are included only when they outnumber the healthy ones.
-func (e *Entry) chooseAmong(ups []*upstream, want wanted, now time.Time) (best choice, ok bool) {
+func (e *Entry) chooseAmong(ups []*upstream, want requirements, now time.Time) (best choice, ok bool) {
 	usable, ejected := make([]choice, 0, len(ups)), []choice(nil)
 	var counts requestCounts
 	for _, up := range ups {
@@ -107,21 +107,21 @@
 		return usable[spread.Cheapest(costs(usable))], true
 	}
 	best = pick(usable, counts.estimateInFlight(want.service.Engine), waitPerRequest(want.service.Engine))
-	best.among = len(usable)
+	best.candidates = len(usable)
 	return best, true
 }
 
 // evaluate predicts the cost of a request at a server; fits is false when the server can't take it, until is the end
 // of its ejection.
-func (e *Entry) evaluate(up *upstream, want wanted, now time.Time) (c choice, until time.Time, fits bool) {
+func (e *Entry) evaluate(up *upstream, want requirements, now time.Time) (c choice, until time.Time, fits bool) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	server := up.server
-	gone := up.missing && now.After(up.goneAt)
-	if up.isLeaving() || gone || want.not[server.ID] || now.Sub(up.denied) < misdirectedBackoff || up.opensIn(want.entries, now) > 0 {
+	gone := up.missing && now.After(up.unusableAt)
+	if up.isLeaving() || gone || want.excluded[server.ID] || now.Sub(up.misdirectedAt) < misdirectedBackoff || up.availableIn(want.entries, now) > 0 {
 		return choice{}, time.Time{}, false
 	}
-	c = choice{up: up, server: server, entries: want.entries}
+	c = choice{upstream: up, server: server, entries: want.entries}
 	if !up.reportAt.IsZero() {
 		c.reportAge = now.Sub(up.reportAt)
 	}
@@ -130,7 +130,7 @@
 	} else if !e.predict(&c, want, now) {
 		return choice{}, time.Time{}, false
 	}
-	c.cost += c.first + up.silence(now) + e.siteCost(server.Site) + rand.N(costJitter)
+	c.cost += c.first + up.reportDelay(now) + e.siteCost(server.Site) + rand.N(costJitter)
 	if up.missing {
 		c.cost += unlistedPenalty
 	}
@@ -139,39 +139,39 @@
 
 // predict fills in the choice of a server with an engine and reports whether the server may take the request; up.mu
 // is held.
-func (e *Entry) predict(c *choice, want wanted, now time.Time) bool {
-	up := c.up
+func (e *Entry) predict(c *choice, want requirements, now time.Time) bool {
+	up := c.upstream
 	c.version = up.version(want.model, now)
 	if c.version == 0 || want.version != 0 && c.version != want.version || up.closing(now) {
 		return false
 	}
 	c.load = up.load(want.service.Engine, now)
-	late := up.faded(now) + stuckFactor*up.stuck(now) + up.way.held(now)
-	c.first = engine.First(want.service.Engine, c.load, want.prompt) + late
-	c.closesIn = up.closes(now)
-	if e.overdue(up, want.model, *c, now) || c.closesIn < want.minOpen {
+	late := up.currentLag(now) + overdueFactor*up.oldestOverdue(now) + up.rtt.delay(now)
+	c.first = engine.First(want.service.Engine, c.load, want.promptTokens) + late
+	c.closesIn = up.closesIn(now)
+	if e.missesVersionDeadline(up, want.model, *c, now) || c.closesIn < want.minOpen {
 		return false
 	}
 	if want.urgent {
 		c.load.Reading, c.load.Unread = 0, 0
-		c.first = engine.First(want.service.Engine, c.load, want.prompt) + late
+		c.first = engine.First(want.service.Engine, c.load, want.promptTokens) + late
 	}
-	c.overrun = max(c.first+engine.Write(want.service.Engine, c.load, want.answer)-c.closesIn, 0)
+	c.overrun = max(c.first+engine.Write(want.service.Engine, c.load, want.answerTokens)-c.closesIn, 0)
 	return true
 }
 
 // missesVersionDeadline reports whether a request might start at a server after the deadline of its version, with a
 // margin for delays on the way.
-func (e *Entry) overdue(up *upstream, model string, c choice, now time.Time) bool {
+func (e *Entry) missesVersionDeadline(up *upstream, model string, c choice, now time.Time) bool {
 	due, older := e.cfg.View.Due(model, c.version)
 	if !older {
 		return false
 	}
 	margin := dispatchMargin
-	if !up.filled(now) && !up.way.quick(now) {
+	if !up.filled(now) && !up.rtt.isLow(now) {
 		margin = unfilledDispatchMargin
 	}
-	return now.Add(margin + dispatchWaitFactor*c.first + up.silence(now)).After(due)
+	return now.Add(margin + dispatchWaitFactor*c.first + up.reportDelay(now)).After(due)
 }
 
 // siteCost returns the added cost of a request to a site.
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -60,7 +60,7 @@
 }
 
 // beginRequest marks the connection as in use and returns the number of bytes written before.
-func (c *conn) begin() int64 {
+func (c *conn) beginRequest() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inUse++
@@ -71,7 +71,7 @@
 }
 
 // endRequest marks the connection as idle and schedules its closing before the server closes it.
-func (c *conn) end(keepAlive time.Duration) {
+func (c *conn) endRequest(keepAlive time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inUse--
--- a/forward/denied_test.go
+++ b/forward/denied_test.go
@@ -13,8 +13,8 @@
 // TestServerThatDeniesIsLeftUntilThereIsNews checks that a server that responded with 421 gets no request until the
 // list or its box reports a change.
 func TestServerThatDeniesIsLeftUntilThereIsNews(t *testing.T) {
-	misdirects := newFake(t, saying("HTTP/1.1 421 Misdirected Request\nId: r1\nContent-Length: 0\n\n"))
-	w := newEngineWorld(t, misdirects.address)
+	misdirects := newFakeServer(t, respondWith("HTTP/1.1 421 Misdirected Request\nId: r1\nContent-Length: 0\n\n"))
+	w := newModelTestEnv(t, misdirects.address)
 	ask := func() {
 		if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.status != http.StatusServiceUnavailable {
 			t.Fatalf("status %d", got.status)
@@ -23,19 +23,19 @@
 	ask()
 	for range 5 {
 		w.entry.upstreams.update(w.entry.cfg.View.Servers())
-		w.report(0, false)
+		w.reportClosing(0, false)
 		ask()
 	}
 	if n := misdirects.arrivals(); n != 1 {
 		t.Errorf("%d requests sent to a server that responded 421, want 1", n)
 	}
-	w.entry.upstreams.heard(link.Report{Server: serverName(0), Model: engineModel, Version: 2}, time.Now())
+	w.entry.upstreams.applyReport(link.Report{Server: serverName(0), Model: testModel, Version: 2}, time.Now())
 	ask()
 	if n := misdirects.arrivals(); n != 2 {
 		t.Errorf("%d requests sent, want one more once its box reports another version", n)
 	}
 	listed := contract.Server{
-		ID: serverName(0), Service: "s", Address: misdirects.address, Slots: 9, Loaded: map[string]contract.Version{engineModel: 2},
+		ID: serverName(0), Service: "s", Address: misdirects.address, Slots: 9, Loaded: map[string]contract.Version{testModel: 2},
 	}
 	w.entry.upstreams.update([]view.Listed{{Server: listed}})
 	ask()
--- a/forward/enginefixture_test.go
+++ b/forward/enginefixture_test.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	engineModel = "m"
+	testModel = "m"
 	// testPriority is the priority of the streams' route.
 	testPriority = 3
 )
 
 // newModelTestEnv returns an entry in front of model servers that run version 1.
-func newEngineWorld(t *testing.T, addresses ...string) *world {
+func newModelTestEnv(t *testing.T, addresses ...string) *testEnv {
 	t.Helper()
 	service := contract.Service{Name: "s", MaxConns: 100, Engine: &contract.Engine{
 		Slots: 8, Stride: 1, Chunk: 1000, Step: time.Millisecond, ReadRate: 1e5, UsualPrompt: 100, UsualAnswer: 50,
-		Models: []contract.Model{{Name: engineModel}},
+		Models: []contract.Model{{Name: testModel}},
 	}}
 	routes := []contract.Route{
 		{
@@ -41,12 +41,12 @@
 	source := fixedSource{declared: view.Declared{Config: cfg}}
 	for i, address := range addresses {
 		source.servers.Present = append(source.servers.Present, contract.Server{
-			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{engineModel: 1},
+			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
 		})
 	}
 	w := newTestEnvFrom(t, source)
 	for i := range addresses {
-		w.report(i, false)
+		w.reportClosing(i, false)
 	}
 	return w
 }
@@ -54,21 +54,21 @@
 func serverName(i int) string { return "server" + strconv.Itoa(i) }
 
 // reportClosing applies a report that says whether a server is closing.
-func (w *world) report(i int, closing bool) {
-	w.heard(i, link.Report{Closing: closing})
+func (w *testEnv) reportClosing(i int, closing bool) {
+	w.applyReport(i, link.Report{Closing: closing})
 }
 
 // applyReport applies the report of a server's box.
-func (w *world) heard(i int, report link.Report) {
-	report.Server, report.Model, report.Version = serverName(i), engineModel, 1
-	w.entry.upstreams.heard(report, time.Now())
+func (w *testEnv) applyReport(i int, report link.Report) {
+	report.Server, report.Model, report.Version = serverName(i), testModel, 1
+	w.entry.upstreams.applyReport(report, time.Now())
 }
 
 // streamWithPause sends events up to first, and those up to to after a pause.
-func pausing(seal string, first, to int, pause time.Duration) answering {
-	return streaming(seal, first, func(conn net.Conn) {
+func streamWithPause(seal string, first, to int, pause time.Duration) responder {
+	return streamEvents(seal, first, func(conn net.Conn) {
 		time.Sleep(pause)
-		events(conn, first+1, to)
-		finish(conn)
+		writeEvents(conn, first+1, to)
+		writeLastChunk(conn)
 	})
 }
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -38,8 +38,8 @@
 	Ready   net.Listener
 	// Links accepts links of other entries that receive the server list from this one; PeerSource is the list source if one entry of a
 	// site relays the list to the others. Both are nil if each entry reads the list itself.
-	Links net.Listener
-	Told  *told.EntrySource
+	Links      net.Listener
+	PeerSource *told.EntrySource
 	// Quarantine records requests under which servers exited; if nil, the entry creates one for itself.
 	Quarantine *quarantine.Quarantine
 }
@@ -50,41 +50,41 @@
 	log       log.Interface
 	transport *http.Transport
 	// oneShotTransport keeps no idle connections.
-	fresh     *http.Transport
-	upstreams upstreams
-	budget    *retry.Budget
-	admission admission.Services
-	returns   admission.Returns
-	peers     *peerNotifier
-	boxLinks  *boxLinks
-	reader    *listReader
-	callers   *http.Server
-	ready     *http.Server
-	conns     callerConns
-	calls     calls
+	oneShotTransport *http.Transport
+	upstreams        upstreams
+	budget           *retry.Budget
+	admission        admission.Services
+	returns          admission.Returns
+	peers            *peerNotifier
+	boxLinks         *boxLinks
+	reader           *listReader
+	callers          *http.Server
+	ready            *http.Server
+	conns            callerConns
+	calls            calls
 	// closesIdleAt is when a leaving entry closes idle connections at the latest; it is set before leaving.
 	closesIdleAt atomic.Pointer[time.Time]
 	leaving      atomic.Bool
-	began        time.Time
+	startedAt    time.Time
 }
 
-// New returns an entry, which serves once its Parts run.
+// New returns an entry, which serves once its Components run.
 func New(cfg Config) *Entry {
 	bounds := cfg.Machine.Bounds
 	e := &Entry{
-		cfg: cfg, log: cfg.Log, transport: newTransport(), fresh: newTransport(),
-		budget: retry.NewBudget(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow), began: clock.Now(),
+		cfg: cfg, log: cfg.Log, transport: newTransport(), oneShotTransport: newTransport(),
+		budget: retry.NewBudget(bounds.RetryRatio, bounds.RetrySlack, bounds.RetryWindow), startedAt: clock.Now(),
 	}
-	e.budget.StartedAt(e.began)
+	e.budget.StartedAt(e.startedAt)
 	if e.cfg.Quarantine == nil {
 		e.cfg.Quarantine = quarantine.New(quarantine.Options{Entry: cfg.Machine.ID, Log: cfg.Log})
 	}
-	e.fresh.DisableKeepAlives = true
-	e.upstreams.subsetWeights, e.upstreams.sharers = e.subsetWeights, e.sharers
+	e.oneShotTransport.DisableKeepAlives = true
+	e.upstreams.subsetWeights, e.upstreams.limitSharers = e.subsetWeights, e.limitSharers
 	e.boxLinks = newBoxLinks(e)
 	e.cfg.Quarantine.OnNews(func(held bool) {
 		if held {
-			e.takeBackHeld()
+			e.cancelQuarantined()
 		}
 		e.boxLinks.wake()
 	})
@@ -92,7 +92,7 @@
 	e.peers = newPeerNotifier(e)
 	e.callers = &http.Server{
 		Handler: countPanics(e), ReadHeaderTimeout: headerTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: e.errorLog("entry: the callers' server says"), ConnState: e.conns.note,
+		ErrorLog: e.errorLog("entry: the callers' server says"), ConnState: e.conns.setState,
 	}
 	e.ready = &http.Server{
 		Handler: countPanics(http.HandlerFunc(e.serveReady)), ReadHeaderTimeout: headerTimeout,
@@ -112,7 +112,7 @@
 		{Name: "quarantine", Run: e.cfg.Quarantine.ServeReads},
 		{Name: "quarantine writes", Run: e.cfg.Quarantine.ServeWrites},
 	}
-	if e.cfg.Told != nil && e.cfg.Links != nil {
+	if e.cfg.PeerSource != nil && e.cfg.Links != nil {
 		parts = append(parts,
 			supervise.Part{Name: "links", Run: e.reader.serveLinks}, supervise.Part{Name: "list", Run: e.reader.serve},
 			supervise.Part{Name: "siblings", Run: e.peers.serve},
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -25,17 +25,17 @@
 // testWire implements Wire with short header names.
 type testWire struct{}
 
-func (testWire) Ask(r *http.Request) Ask {
+func (testWire) ParseRequest(r *http.Request) RequestInfo {
 	wait, _ := strconv.Atoi(r.Header.Get("Wait"))
-	return Ask{
-		ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), Wait: time.Duration(wait) * time.Millisecond,
+	return RequestInfo{
+		ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), Timeout: time.Duration(wait) * time.Millisecond,
 		LastEvent: r.Header.Get("Last"),
 	}
 }
 
-func (testWire) Outgoing(h http.Header, info Send) {
+func (testWire) SetRequestHeaders(h http.Header, info AttemptInfo) {
 	h.Del("Key")
-	h.Set("Wait", strconv.FormatInt(info.Left.Milliseconds(), 10))
+	h.Set("Wait", strconv.FormatInt(info.TimeLeft.Milliseconds(), 10))
 	h.Set("Expect", info.Server)
 	h.Set("Team", info.Team)
 	h.Set("Rank", strconv.Itoa(info.Priority))
@@ -44,8 +44,8 @@
 	}
 }
 
-func (testWire) Reply(resp *http.Response) Reply {
-	reply := Reply{
+func (testWire) ParseResponse(resp *http.Response) ResponseInfo {
+	reply := ResponseInfo{
 		ID: resp.Header.Get("Id"), Sealed: resp.Header.Get("Seal") != "",
 		NotRun: resp.Header.Get("Not-Run") != "" || resp.StatusCode == http.StatusMisdirectedRequest,
 	}
@@ -59,7 +59,7 @@
 	return reply
 }
 
-func (testWire) Refused(h http.Header, id string, after time.Duration) {
+func (testWire) SetRefusalHeaders(h http.Header, id string, after time.Duration) {
 	h.Set("Id", id)
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
@@ -96,7 +96,7 @@
 }
 
 // testEnv is an entry in front of test servers.
-type world struct {
+type testEnv struct {
 	t     *testing.T
 	entry *Entry
 	url   string
@@ -116,7 +116,7 @@
 }
 
 // newTestEnv returns an entry in front of servers at addresses; all routes lead to them.
-func newWorld(t *testing.T, keyed bool, addresses ...string) *world {
+func newTestEnv(t *testing.T, keyed bool, addresses ...string) *testEnv {
 	t.Helper()
 	routes := make([]contract.Route, len(testRoutes))
 	for i, route := range testRoutes {
@@ -138,7 +138,7 @@
 	return newTestEnvFrom(t, source)
 }
 
-func newTestEnvFrom(t *testing.T, source view.Source) *world {
+func newTestEnvFrom(t *testing.T, source view.Source) *testEnv {
 	t.Helper()
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
 	v := view.New(source, view.Options{Log: logger})
@@ -165,7 +165,7 @@
 		cancel()
 		e.transport.CloseIdleConnections()
 	})
-	return &world{t: t, entry: e, url: server.URL}
+	return &testEnv{t: t, entry: e, url: server.URL}
 }
 
 // result is a response as the caller received it; err is set if it was cut off.
@@ -177,7 +177,7 @@
 	err    error
 }
 
-func (w *world) ask(method, path, body string, header map[string]string) result {
+func (w *testEnv) ask(method, path, body string, header map[string]string) result {
 	w.t.Helper()
 	req, err := http.NewRequest(method, w.url+path, strings.NewReader(body))
 	if err != nil {
@@ -200,17 +200,17 @@
 }
 
 // fakeServer is a server that answers with raw bytes.
-type fake struct {
+type fakeServer struct {
 	address  string
 	listener net.Listener
 	mu       sync.Mutex
-	got      []*http.Request
+	requests []*http.Request
 	bodies   []string
 	conns    []net.Conn
 }
 
 // end stops the server: it no longer listens, and its connections are closed.
-func (f *fake) end() {
+func (f *fakeServer) end() {
 	_ = f.listener.Close()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -220,14 +220,14 @@
 }
 
 // newFakeServer starts a server; answer writes the response to each request and returns false to close the connection.
-func newFake(t *testing.T, answer answering) *fake {
+func newFakeServer(t *testing.T, answer responder) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	f := &fake{address: listener.Addr().String(), listener: listener}
+	f := &fakeServer{address: listener.Addr().String(), listener: listener}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -243,7 +243,7 @@
 	return f
 }
 
-func (f *fake) serve(conn net.Conn, answer answering) {
+func (f *fakeServer) serve(conn net.Conn, answer responder) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -256,9 +256,9 @@
 			return
 		}
 		f.mu.Lock()
-		f.got = append(f.got, r)
+		f.requests = append(f.requests, r)
 		f.bodies = append(f.bodies, string(body))
-		n := len(f.got)
+		n := len(f.requests)
 		f.mu.Unlock()
 		if !answer(conn, n, r) {
 			return
@@ -267,30 +267,30 @@
 }
 
 // arrivals returns the number of requests received.
-func (f *fake) arrivals() int {
+func (f *fakeServer) arrivals() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.got)
+	return len(f.requests)
 }
 
-func raw(conn net.Conn, text string) bool {
+func writeRaw(conn net.Conn, text string) bool {
 	_, err := conn.Write([]byte(strings.ReplaceAll(text, "\n", "\r\n")))
 	return err == nil
 }
 
 // okResponse is a complete response to request r1.
-const whole = "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 5\n\nhello"
+const okResponse = "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 5\n\nhello"
 
-func good(conn net.Conn, _ int, _ *http.Request) bool { return raw(conn, whole) }
+func respondOK(conn net.Conn, _ int, _ *http.Request) bool { return writeRaw(conn, okResponse) }
 
-type answering func(conn net.Conn, n int, r *http.Request) bool
+type responder func(conn net.Conn, n int, r *http.Request) bool
 
-func saying(text string) answering {
-	return func(conn net.Conn, _ int, _ *http.Request) bool { return raw(conn, text) }
+func respondWith(text string) responder {
+	return func(conn net.Conn, _ int, _ *http.Request) bool { return writeRaw(conn, text) }
 }
 
 // firstThen answers the first request of all servers that share it differently from later ones.
-func firstThen(first, then answering) answering {
+func firstThen(first, then responder) responder {
 	var seen atomic.Int64
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		if seen.Add(1) == 1 {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -14,7 +14,7 @@
 
 // truncated sends an incomplete body and resets the connection.
 func truncated(conn net.Conn, _ int, _ *http.Request) bool {
-	raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 50\n\nhel")
+	writeRaw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 50\n\nhel")
 	return reset(conn)
 }
 
@@ -22,40 +22,40 @@
 type responseTest struct {
 	path     string
 	method   string
-	first    answering
+	first    responder
 	status   int
 	body     string
 	arrivals int
 }
 
 var responseTests = map[string]responseTest{
-	"complete":                {"/once/a", "POST", good, 200, "hello", 1},
-	"server error, once":      {"/once/a", "POST", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 500, "no", 1},
-	"server error, safe":      {"/safe/a", "GET", saying("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 200, "hello", 2},
-	"no seal, once":           {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 502, "", 1},
-	"no seal, safe":           {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 200, "hello", 2},
-	"wrong request ID, once":  {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 502, "", 1},
-	"wrong request ID, safe":  {"/safe/a", "GET", saying("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 200, "hello", 2},
+	"complete":                {"/once/a", "POST", respondOK, 200, "hello", 1},
+	"server error, once":      {"/once/a", "POST", respondWith("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 500, "no", 1},
+	"server error, safe":      {"/safe/a", "GET", respondWith("HTTP/1.1 500 No\nId: r1\nSeal: s\nContent-Length: 2\n\nno"), 200, "hello", 2},
+	"no seal, once":           {"/once/a", "POST", respondWith("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 502, "", 1},
+	"no seal, safe":           {"/safe/a", "GET", respondWith("HTTP/1.1 200 OK\nId: r1\nContent-Length: 5\n\nhello"), 200, "hello", 2},
+	"wrong request ID, once":  {"/once/a", "POST", respondWith("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 502, "", 1},
+	"wrong request ID, safe":  {"/safe/a", "GET", respondWith("HTTP/1.1 200 OK\nId: r9\nSeal: s\nContent-Length: 5\n\nother"), 200, "hello", 2},
 	"truncated, once":         {"/once/a", "POST", truncated, 502, "", 1},
 	"truncated, safe":         {"/safe/a", "GET", truncated, 200, "hello", 2},
-	"not HTTP":                {"/once/a", "POST", saying("garbage\n\n"), 502, "", 1},
-	"content encoding":        {"/once/a", "POST", saying("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Encoding: gzip\nContent-Length: 5\n\nhello"), 502, "", 1},
-	"not run, once":           {"/once/a", "POST", saying("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
-	"misdirected, once":       {"/once/a", "POST", saying("HTTP/1.1 421 No\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"not HTTP":                {"/once/a", "POST", respondWith("garbage\n\n"), 502, "", 1},
+	"content encoding":        {"/once/a", "POST", respondWith("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Encoding: gzip\nContent-Length: 5\n\nhello"), 502, "", 1},
+	"not run, once":           {"/once/a", "POST", respondWith("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"misdirected, once":       {"/once/a", "POST", respondWith("HTTP/1.1 421 No\nContent-Length: 0\n\n"), 200, "hello", 2},
 	"connection closed, once": {"/once/two/a", "POST", func(net.Conn, int, *http.Request) bool { return false }, 502, "", 1},
 	"connection closed, safe": {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { return false }, 200, "hello", 2},
 	"no length, connection closed": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
-		raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhello")
+		writeRaw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhello")
 		return false
 	}, 200, "hello", 1},
 	"no length, connection reset": {"/once/a", "POST", func(conn net.Conn, _ int, _ *http.Request) bool {
-		raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhel")
+		writeRaw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\n\nhel")
 		time.Sleep(50 * time.Millisecond)
 		return reset(conn)
 	}, 502, "", 1},
 	"no response within the route's time limit": {"/short/a", "POST", func(net.Conn, int, *http.Request) bool { time.Sleep(time.Second); return false }, 504, "", 1},
 	"no response, safe":                         {"/safe/a", "GET", func(net.Conn, int, *http.Request) bool { time.Sleep(5 * time.Second); return false }, 200, "hello", 2},
-	"429 not run":                               {"/safe/a", "GET", saying("HTTP/1.1 429 No\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
+	"429 not run":                               {"/safe/a", "GET", respondWith("HTTP/1.1 429 No\nNot-Run: 1\nContent-Length: 0\n\n"), 200, "hello", 2},
 }
 
 // TestAnswers checks what callers get for each kind of response of the first server, and how many servers receive the request.
@@ -63,9 +63,9 @@
 	for name, test := range responseTests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			answer := firstThen(test.first, good)
-			a, b := newFake(t, answer), newFake(t, answer)
-			w := newWorld(t, false, a.address, b.address)
+			answer := firstThen(test.first, respondOK)
+			a, b := newFakeServer(t, answer), newFakeServer(t, answer)
+			w := newTestEnv(t, false, a.address, b.address)
 			got := w.ask(test.method, test.path, "", nil)
 			if got.err != nil || got.status != test.status || test.body != "" && got.body != test.body {
 				t.Errorf("answer %d %q %v, want %d %q", got.status, got.body, got.err, test.status, test.body)
@@ -78,15 +78,15 @@
 }
 
 func TestRequestArrivesUnchanged(t *testing.T) {
-	a := newFake(t, good)
-	w := newWorld(t, true, a.address)
+	a := newFakeServer(t, respondOK)
+	w := newTestEnv(t, true, a.address)
 	got := w.ask("POST", "/once/%2Fa%20b/?q=1&q=%31", "the body", map[string]string{
 		"Key": "good", "Own": "kept", "Connection": "Hop", "Hop": "dropped", "Team": "forged",
 	})
 	if got.status != http.StatusOK || got.header.Get("Seal") != "s" {
 		t.Fatalf("answer %d, seal %q", got.status, got.header.Get("Seal"))
 	}
-	r := a.got[0]
+	r := a.requests[0]
 	if r.RequestURI != "/once/%2Fa%20b/?q=1&q=%31" || r.Host != "h" || a.bodies[0] != "the body" {
 		t.Errorf("server received %s at %s with body %q", r.RequestURI, r.Host, a.bodies[0])
 	}
@@ -113,8 +113,8 @@
 		"long header":              {path: "/safe/a", key: "good", header: map[string]string{"Long": strings.Repeat("x", 8<<10)}, status: 431},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newFake(t, good)
-			w := newWorld(t, true, a.address)
+			a := newFakeServer(t, respondOK)
+			w := newTestEnv(t, true, a.address)
 			header := map[string]string{"Key": test.key}
 			for name, value := range test.header {
 				header[name] = value
@@ -139,7 +139,7 @@
 }
 
 func TestWithoutServersNotRun(t *testing.T) {
-	w := newWorld(t, false)
+	w := newTestEnv(t, false)
 	got := w.ask("POST", "/once/a", "", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, "not-run") {
 		t.Errorf("answer %d %q, want outcome not-run with Retry-After", got.status, got.body)
@@ -150,8 +150,8 @@
 func TestKeptConnectionIsNotResent(t *testing.T) {
 	for name, method := range map[string]string{"GET": "GET", "POST without a body": "POST", "DELETE": "DELETE"} {
 		t.Run(name, func(t *testing.T) {
-			a := newFake(t, func(conn net.Conn, n int, r *http.Request) bool { return n == 1 && good(conn, n, r) })
-			w := newWorld(t, false, a.address)
+			a := newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool { return n == 1 && respondOK(conn, n, r) })
+			w := newTestEnv(t, false, a.address)
 			if got := w.ask(method, "/once/a", "", nil); got.status != 200 {
 				t.Fatalf("first answer %d %v", got.status, got.err)
 			}
@@ -164,13 +164,13 @@
 }
 
 func TestSurplusAnswerIsNobodys(t *testing.T) {
-	a := newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
+	a := newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool {
 		if n == 1 {
-			return raw(conn, whole+"HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 5\n\nstale")
+			return writeRaw(conn, okResponse+"HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: 5\n\nstale")
 		}
-		return good(conn, n, r)
+		return respondOK(conn, n, r)
 	})
-	w := newWorld(t, false, a.address)
+	w := newTestEnv(t, false, a.address)
 	for i := range 3 {
 		if got := w.ask("POST", "/once/a", "", nil); got.status != 200 || got.body != "hello" {
 			t.Errorf("answer %d is %d %q", i, got.status, got.body)
@@ -180,12 +180,12 @@
 
 func TestCallerGoneEndsTheSend(t *testing.T) {
 	gone := make(chan struct{})
-	a := newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
+	a := newFakeServer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1))
 		close(gone)
 		return false
 	})
-	w := newWorld(t, false, a.address)
+	w := newTestEnv(t, false, a.address)
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, "POST", w.url+"/once/a", nil)
@@ -202,11 +202,11 @@
 }
 
 func TestCallerGoneSaysNothingOfTheServer(t *testing.T) {
-	a := newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
+	a := newFakeServer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 		_, _ = conn.Read(make([]byte, 1))
 		return false
 	})
-	w := newWorld(t, false, a.address)
+	w := newTestEnv(t, false, a.address)
 	for range 3 {
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		req, err := http.NewRequestWithContext(ctx, "POST", w.url+"/once/a", nil)
@@ -218,7 +218,7 @@
 		cancel()
 	}
 	time.Sleep(50 * time.Millisecond)
-	up := w.entry.upstreams.of("s")[0]
+	up := w.entry.upstreams.preferred("s")[0]
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.failures != 0 || !up.ejectedUntil.IsZero() {
@@ -227,11 +227,11 @@
 }
 
 func TestLeaving(t *testing.T) {
-	a := newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
+	a := newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(300 * time.Millisecond)
-		return good(conn, n, r)
+		return respondOK(conn, n, r)
 	})
-	w := newWorld(t, false, a.address)
+	w := newTestEnv(t, false, a.address)
 	answered := make(chan result, 1)
 	go func() { answered <- w.ask("POST", "/once/a", "", nil) }()
 	time.Sleep(50 * time.Millisecond)
--- a/forward/gone_test.go
+++ b/forward/gone_test.go
@@ -12,9 +12,9 @@
 // TestGoneServerGetsNoSecondSend checks that an unlisted server gets no request after its grace period, not even a
 // retry for which no other server is left.
 func TestGoneServerGetsNoSecondSend(t *testing.T) {
-	fails := newFake(t, saying("HTTP/1.1 500 Internal Server Error\nId: r1\nSeal: s\nContent-Length: 0\n\n"))
-	unlisted := newFake(t, good)
-	w := newWorld(t, false, fails.address, unlisted.address)
+	fails := newFakeServer(t, respondWith("HTTP/1.1 500 Internal Server Error\nId: r1\nSeal: s\nContent-Length: 0\n\n"))
+	unlisted := newFakeServer(t, respondOK)
+	w := newTestEnv(t, false, fails.address, unlisted.address)
 	server := func(i int, address string) contract.Server {
 		return contract.Server{ID: serverName(i), Service: "s", Address: address, Slots: 4}
 	}
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -26,13 +26,13 @@
 // ServeHTTP handles one request of a caller.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := clock.Now()
-	info := e.cfg.Wire.Ask(r)
+	info := e.cfg.Wire.ParseRequest(r)
 	if e.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	cfg := e.cfg.View.Config()
 	if cfg == nil || e.cfg.View.Outdated() {
-		e.deny(w, r, info, http.StatusServiceUnavailable, "no-configuration", "no configuration is known yet", loadRetryAfter)
+		e.deny(w, r, info, http.StatusServiceUnavailable, "no-configuration", "no configuration is known yet", loadingRetryAfter)
 		return
 	}
 	route := cfg.Route(r.Host, r.URL.Path)
@@ -40,7 +40,7 @@
 		e.denyOrRetryLater(w, r, info, http.StatusNotFound, "no-route", "no route leads there")
 		return
 	}
-	defer e.conns.end(e.conns.begin(&running{id: info.ID, route: route.Name, started: started}))
+	defer e.conns.removeRequest(e.conns.addRequest(&activeRequest{id: info.ID, route: route.Name, started: started}))
 	team, known := teamOf(cfg, route, info)
 	if !known {
 		e.denyOrRetryLater(w, r, info, http.StatusUnauthorized, "no-team", "the key is not known")
@@ -56,7 +56,7 @@
 	}
 	c := &call{
 		entry: e, w: w, r: r, ask: info, route: route, team: team, body: body,
-		started: started, ends: started.Add(wait(info, route)), config: cfg.Revision, not: make(map[string]bool),
+		started: started, deadline: started.Add(wait(info, route)), config: cfg.Revision, excluded: make(map[string]bool),
 	}
 	c.service = cfg.Service(route.Service(rand.Float64()))
 	if c.service == nil {
@@ -67,7 +67,7 @@
 }
 
 // teamOf returns the team of a request, nil if the route needs no key; known is false if the key is unknown.
-func teamOf(cfg *contract.Config, route *contract.Route, info Ask) (team *contract.Team, known bool) {
+func teamOf(cfg *contract.Config, route *contract.Route, info RequestInfo) (team *contract.Team, known bool) {
 	if !cfg.Keyed || route.Public {
 		return nil, true
 	}
@@ -76,8 +76,8 @@
 }
 
 // wait returns the time limit of a request: that of the caller, capped by that of the route.
-func wait(info Ask, route *contract.Route) time.Duration {
-	limit := info.Wait
+func wait(info RequestInfo, route *contract.Route) time.Duration {
+	limit := info.Timeout
 	if limit <= 0 {
 		limit = defaultTimeout
 	}
@@ -88,7 +88,7 @@
 }
 
 // readBody reads the whole body, which several attempts may send. On failure it answers the request and returns false.
-func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, info Ask, limit int64) ([]byte, bool) {
+func (e *Entry) readBody(w http.ResponseWriter, r *http.Request, info RequestInfo, limit int64) ([]byte, bool) {
 	if r.ContentLength == 0 {
 		return nil, true
 	}
@@ -116,16 +116,16 @@
 }
 
 // denyOrRetryLater denies a request. While a newer configuration that allows it may be in force, the caller is told to retry instead.
-func (e *Entry) denyOrRetryLater(w http.ResponseWriter, r *http.Request, info Ask, status int, slug, detail string) {
+func (e *Entry) denyOrRetryLater(w http.ResponseWriter, r *http.Request, info RequestInfo, status int, slug, detail string) {
 	if e.cfg.View.Doubtful() {
-		e.deny(w, r, info, http.StatusServiceUnavailable, "configuration-in-doubt", detail+" as far as is known; the store is away", loadRetryAfter)
+		e.deny(w, r, info, http.StatusServiceUnavailable, "configuration-in-doubt", detail+" as far as is known; the store is away", loadingRetryAfter)
 		return
 	}
 	e.deny(w, r, info, status, slug, detail, 0)
 }
 
 // deny answers a request that is not admitted, and logs it.
-func (e *Entry) deny(w http.ResponseWriter, r *http.Request, info Ask, status int, slug, detail string, after time.Duration) {
+func (e *Entry) deny(w http.ResponseWriter, r *http.Request, info RequestInfo, status int, slug, detail string, after time.Duration) {
 	countOutcome("", slug)
 	e.log.WithFields(log.Fields{
 		"id": info.ID, "host": r.Host, "path": r.URL.Path, "status": status, "outcome": slug,
@@ -145,7 +145,7 @@
 	if e.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	e.cfg.Wire.Refused(w.Header(), id, after)
+	e.cfg.Wire.SetRefusalHeaders(w.Header(), id, after)
 	p.Write(w)
 }
 
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -27,16 +27,16 @@
 
 // start sends the request to a server in a goroutine of its own; nil if the server no longer has room. mu is held.
 func (c *call) start(ch choice) *attempt {
-	t := ch.up.take(c.ask.Prompt, ch.first, ch.entries, clock.Now())
+	t := ch.upstream.tryAcquire(c.ask.PromptTokens, ch.first, ch.entries, clock.Now())
 	if t == nil {
 		return nil
 	}
 	a := &attempt{call: c, choice: ch, ticket: t, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
 	a.ctx, a.cancel = context.WithCancelCause(c.ctx)
 	c.sends++
-	c.not[ch.server.ID] = true
-	c.last = ch
-	a.ticket.whenRestarted(a.cancel)
+	c.excluded[ch.server.ID] = true
+	c.lastChoice = ch
+	a.ticket.onServerRestart(a.cancel)
 	c.pending = append(c.pending, a)
 	if c.route.Repeatable() {
 		a.awaitsData.Store(true)
@@ -81,7 +81,7 @@
 			return
 		}
 		// The server has run the request, but its response is not used.
-		result, err = stepLost, context.Cause(a.ctx)
+		result, err = resultLost, context.Cause(a.ctx)
 	}
 	a.recordFailure(result, err)
 	a.close()
@@ -114,13 +114,13 @@
 	if len(others) > 0 {
 		handovers("taken").Inc()
 	}
-	c.pending, c.winner, c.last = nil, a, a.choice
+	c.pending, c.winner, c.lastChoice = nil, a, a.choice
 	c.notify()
 	return true
 }
 
 // recordFailure records an attempt without a usable response; the others continue.
-func (a *attempt) recordFailure(result step, err error) {
+func (a *attempt) recordFailure(result attemptResult, err error) {
 	c := a.call
 	c.mu.Lock()
 	if c.done {
@@ -128,7 +128,7 @@
 		return
 	}
 	c.pending = slices.DeleteFunc(c.pending, func(other *attempt) bool { return other == a })
-	if result == stepNotRun {
+	if result == resultNotRun {
 		c.sends--
 		c.refusalCount++
 		c.refusedAt[a.choice.server.ID] = clock.Now()
@@ -153,9 +153,9 @@
 func (c *call) continues() bool {
 	switch {
 	case c.winner != nil:
-		c.last = c.winner.choice
+		c.lastChoice = c.winner.choice
 	case len(c.pending) > 0:
-		c.last = c.pending[0].choice
+		c.lastChoice = c.pending[0].choice
 	default:
 		return false
 	}
@@ -221,7 +221,7 @@
 	}
 	err := &SilentServerError{Server: a.choice.server.ID}
 	if a.markSilent() {
-		c.logEjection(a, a.choice.up.silent(clock.Now()), err.Error())
+		c.logEjection(a, a.choice.upstream.recordTimeout(clock.Now()), err.Error())
 	}
 	if a.delaysPrimary() {
 		a.cancel(err)
@@ -290,7 +290,7 @@
 	for id, at := range c.refusedAt {
 		if now.Sub(at) >= retryInterval {
 			delete(c.refusedAt, id)
-			delete(c.not, id)
+			delete(c.excluded, id)
 		}
 	}
 }
@@ -300,7 +300,7 @@
 	if !closing {
 		c.readmit(clock.Now())
 	}
-	want := c.wanted()
+	want := c.requirements()
 	want.movable = false
 	want.urgent = c.urgent || closing || c.stream != nil
 	if c.stream != nil {
@@ -310,7 +310,7 @@
 		want.minOpen = minTurnLead
 	}
 	ch, ok := c.entry.choose(want, clock.Now())
-	if !ok || closing && (ch.first > a.moveTimeLimit() || c.stream != nil && c.tooFewServers(ch.among)) {
+	if !ok || closing && (ch.first > a.moveTimeLimit() || c.stream != nil && c.tooFewServers(ch.candidates)) {
 		return choice{}, false
 	}
 	return ch, true
--- a/forward/handover_faults_test.go
+++ b/forward/handover_faults_test.go
@@ -18,18 +18,18 @@
 // won keeps no event from the caller.
 func TestLateHedgeDoesNotBufferEvents(t *testing.T) {
 	t.Parallel()
-	one := newFake(t, paced("a", 10, 150*time.Millisecond))
-	two := newFake(t, refusing)
-	w := newEngineWorld(t, one.address, two.address)
-	w.report(1, true)
+	one := newFakeServer(t, paced("a", 10, 150*time.Millisecond))
+	two := newFakeServer(t, refuseNotRun)
+	w := newModelTestEnv(t, one.address, two.address)
+	w.reportClosing(1, true)
 	calls := make(chan *call, 1)
 	front := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		ask := w.entry.cfg.Wire.Ask(r)
+		ask := w.entry.cfg.Wire.ParseRequest(r)
 		cfg := w.entry.cfg.View.Config()
 		route := cfg.Route(r.Host, r.URL.Path)
 		c := &call{
-			entry: w.entry, w: rw, r: r, ask: ask, route: route, started: time.Now(), ends: time.Now().Add(wait(ask, route)),
-			not: make(map[string]bool), service: cfg.Service("s"),
+			entry: w.entry, w: rw, r: r, ask: ask, route: route, started: time.Now(), deadline: time.Now().Add(wait(ask, route)),
+			excluded: make(map[string]bool), service: cfg.Service("s"),
 		}
 		calls <- c
 		c.run(r.Context())
@@ -43,15 +43,15 @@
 			c.mu.Lock()
 			if len(c.pending) == 1 {
 				// This is what call.start does, without starting the goroutine.
-				w.report(1, false)
-				ch, ok := c.entry.choose(c.wanted(), time.Now())
+				w.reportClosing(1, false)
+				ch, ok := c.entry.choose(c.requirements(), time.Now())
 				if !ok {
 					t.Error("no second server")
 				}
-				b = &attempt{call: c, choice: ch, ticket: ch.up.take(0, ch.first, 1, time.Now()), primary: c.winner}
+				b = &attempt{call: c, choice: ch, ticket: ch.upstream.tryAcquire(0, ch.first, 1, time.Now()), primary: c.winner}
 				b.ctx, b.cancel = context.WithCancelCause(c.ctx)
 				c.sends++
-				c.not[ch.server.ID] = true
+				c.excluded[ch.server.ID] = true
 				c.pending = append(c.pending, b)
 			}
 			c.mu.Unlock()
@@ -74,12 +74,12 @@
 // begun to respond.
 func TestStreamStartedAtDeadlineIsNotReportedNotRun(t *testing.T) {
 	t.Parallel()
-	one := newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
+	one := newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(200 * time.Millisecond)
-		return streaming("a", 6, finish)(conn, n, r)
+		return streamEvents("a", 6, writeLastChunk)(conn, n, r)
 	})
-	w := newEngineWorld(t, one.address)
-	up := w.entry.upstreams.of("s")[0]
+	w := newModelTestEnv(t, one.address)
+	up := w.entry.upstreams.preferred("s")[0]
 	time.AfterFunc(100*time.Millisecond, func() {
 		// Holding the mutex delays the attempt's goroutine.
 		up.mu.Lock()
@@ -95,21 +95,21 @@
 // TestEventsWithoutIDsAreNotPassedTwice checks that a stream that can't be resumed is not moved.
 func TestEventsWithoutIDsAreNotPassedTwice(t *testing.T) {
 	t.Parallel()
-	withoutIDs := func(pause time.Duration) answering {
+	withoutIDs := func(pause time.Duration) responder {
 		return func(conn net.Conn, _ int, _ *http.Request) bool {
-			raw(conn, fmt.Sprintf(streamHeader, "a"))
+			writeRaw(conn, fmt.Sprintf(streamHeader, "a"))
 			for i := range 6 {
 				time.Sleep(pause)
 				writeChunk(conn, fmt.Sprintf("data: e%d\n\n", i+1))
 			}
-			finish(conn)
+			writeLastChunk(conn)
 			return false
 		}
 	}
 	both := firstThen(withoutIDs(200*time.Millisecond), withoutIDs(0))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
-	time.AfterFunc(300*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
+	time.AfterFunc(300*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 	want := "data: e1\n\ndata: e2\n\ndata: e3\n\ndata: e4\n\ndata: e5\n\ndata: e6\n\n"
 	if got.err != nil || got.body != want {
@@ -122,20 +122,20 @@
 func TestSlowCallerDoesNotEjectServer(t *testing.T) {
 	t.Parallel()
 	const size = 15 << 20
-	one := newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
-		raw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: %d\n\n", size))
+	one := newFakeServer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
+		writeRaw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: %d\n\n", size))
 		_, err := conn.Write(make([]byte, size))
 		return err == nil
 	})
-	w := newWorld(t, false, one.address)
+	w := newTestEnv(t, false, one.address)
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	raw(conn, "GET /safe/a HTTP/1.1\nHost: h\nId: r1\n\n")
+	writeRaw(conn, "GET /safe/a HTTP/1.1\nHost: h\nId: r1\n\n")
 	time.Sleep(1500 * time.Millisecond)
-	up := w.entry.upstreams.of("s")[0]
+	up := w.entry.upstreams.preferred("s")[0]
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if !up.ejectedUntil.IsZero() {
@@ -149,17 +149,17 @@
 	t.Parallel()
 	const pieces, pause = 8, 300 * time.Millisecond
 	slow := func(conn net.Conn, _ int, _ *http.Request) bool {
-		raw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: %d\n\n", pieces))
+		writeRaw(conn, fmt.Sprintf("HTTP/1.1 200 OK\nId: r1\nSeal: s\nContent-Length: %d\n\n", pieces))
 		for range pieces {
 			time.Sleep(pause)
-			if !raw(conn, "x") {
+			if !writeRaw(conn, "x") {
 				return false
 			}
 		}
 		return true
 	}
-	one, two := newFake(t, slow), newFake(t, slow)
-	w := newWorld(t, false, one.address, two.address)
+	one, two := newFakeServer(t, slow), newFakeServer(t, slow)
+	w := newTestEnv(t, false, one.address, two.address)
 	got := w.ask(http.MethodPost, "/safe/a", "x", nil)
 	if got.status != http.StatusOK || len(got.body) != pieces {
 		t.Errorf("status %d, %d of %d bytes", got.status, len(got.body), pieces)
@@ -167,7 +167,7 @@
 	if n := one.arrivals() + two.arrivals(); n != 1 {
 		t.Errorf("%d sends, want 1", n)
 	}
-	for _, up := range w.entry.upstreams.of("s") {
+	for _, up := range w.entry.upstreams.preferred("s") {
 		if up.failures > 0 {
 			t.Errorf("the server has %d failures, want 0", up.failures)
 		}
@@ -178,20 +178,20 @@
 // left.
 func TestLastAttemptIsNotCancelledAsSilent(t *testing.T) {
 	t.Parallel()
-	breaksOffLate := streaming("a", 0, func(conn net.Conn) {
+	breaksOffLate := streamEvents("a", 0, func(conn net.Conn) {
 		for i := 1; i <= 4; i++ {
 			time.Sleep(200 * time.Millisecond)
-			events(conn, i, i)
+			writeEvents(conn, i, i)
 		}
 		breakOff(conn)
 	})
 	// The second server is tried after 500 ms and counts as silent 0.9 s later.
 	both := firstThen(breaksOffLate, delayed("b", 1300*time.Millisecond))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
-	time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
+	time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-	if got.err != nil || got.body != all(6) {
+	if got.err != nil || got.body != allEvents(6) {
 		t.Errorf("body %q, error %v", got.body, got.err)
 	}
 }
@@ -202,12 +202,12 @@
 	for name, path := range map[string]string{"resumable": "/stream/a", "not resumable": "/stream/once/a"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			both := firstThen(streaming("a", 0, func(conn net.Conn) {
+			both := firstThen(streamEvents("a", 0, func(conn net.Conn) {
 				writeChunk(conn, "version: 9\nid: 1\ndata: x\n\n")
 				time.Sleep(time.Second)
-			}), streaming("b", 6, finish))
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
+			}), streamEvents("b", 6, writeLastChunk))
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
 			if got := w.ask(http.MethodPost, path, "x", nil); got.err != nil || got.status == 0 {
 				t.Errorf("neither an answer nor a refusal: status %d, body %q, error %v", got.status, got.body, got.err)
 			}
@@ -219,17 +219,17 @@
 // attempt.
 func TestLogLineNamesRespondingServer(t *testing.T) {
 	t.Parallel()
-	both := firstThen(paced("a", 8, 150*time.Millisecond), refusing)
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
+	both := firstThen(paced("a", 8, 150*time.Millisecond), refuseNotRun)
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
 	lines := memory.New()
 	w.entry.log = &log.Logger{Handler: lines, Level: log.InfoLevel}
 	first := make(chan int, 1)
 	time.AfterFunc(100*time.Millisecond, func() {
 		first <- min(two.arrivals(), 1)
-		w.report(min(two.arrivals(), 1), true)
+		w.reportClosing(min(two.arrivals(), 1), true)
 	})
-	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != all(8) || one.arrivals()+two.arrivals() != 2 {
+	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != allEvents(8) || one.arrivals()+two.arrivals() != 2 {
 		t.Fatalf("body %q, error %v", got.body, got.err)
 	}
 	time.Sleep(50 * time.Millisecond)
@@ -244,10 +244,10 @@
 // TestRefusingServersAreRetried checks that servers that refused the request are tried again within resumeTimeout.
 func TestRefusingServersAreRetried(t *testing.T) {
 	t.Parallel()
-	both := firstThen(streaming("a", 3, breakOff), firstThen(refusing, streaming("b", 6, finish)))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
-	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.err != nil || got.body != all(6) {
+	both := firstThen(streamEvents("a", 3, breakOff), firstThen(refuseNotRun, streamEvents("b", 6, writeLastChunk)))
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
+	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.err != nil || got.body != allEvents(6) {
 		t.Errorf("body %q, error %v, requests %d and %d", got.body, got.err, one.arrivals(), two.arrivals())
 	}
 }
--- a/forward/handover_more_test.go
+++ b/forward/handover_more_test.go
@@ -61,22 +61,22 @@
 // fails.
 func TestBufferedEventsAreFlushedInTime(t *testing.T) {
 	for name, test := range map[string]struct {
-		second answering
+		second responder
 		pause  time.Duration
 	}{
-		"second server refuses": {refusing, 300 * time.Millisecond},
+		"second server refuses": {refuseNotRun, 300 * time.Millisecond},
 		"second server refuses after queueing": {func(conn net.Conn, n int, r *http.Request) bool {
 			time.Sleep(300 * time.Millisecond)
-			return refusing(conn, n, r)
+			return refuseNotRun(conn, n, r)
 		}, 500 * time.Millisecond},
 		"second server is silent": {delayed("b", 5*time.Second), 1200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			both := firstThen(paced("a", 20, 100*time.Millisecond), test.second)
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
-			time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
+			time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 			at, err := eventTimes(t, w.url, "/stream/a")
 			if err != nil || len(at) != 20 || one.arrivals()+two.arrivals() != 2 {
 				t.Fatalf("%d events, %v", len(at), err)
@@ -105,7 +105,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var atWork atomic.Int32
-			after := func(wait time.Duration) answering {
+			after := func(wait time.Duration) responder {
 				return func(conn net.Conn, n int, r *http.Request) bool {
 					atWork.Add(1)
 					defer atWork.Add(-1)
@@ -113,24 +113,24 @@
 					if _, err := conn.Read(make([]byte, 1)); err != nil && !isTimeout(err) {
 						return false
 					}
-					return streaming("s", 6, finish)(conn, n, r)
+					return streamEvents("s", 6, writeLastChunk)(conn, n, r)
 				}
 			}
 			both := firstThen(after(test.first), after(test.second))
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
 			if test.closes {
-				time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+				time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 			}
 			if test.leaves > 0 {
 				conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 				if err != nil {
 					t.Fatal(err)
 				}
-				raw(conn, "POST /stream/a HTTP/1.1\nHost: h\nId: r1\nContent-Length: 0\n\n")
+				writeRaw(conn, "POST /stream/a HTTP/1.1\nHost: h\nId: r1\nContent-Length: 0\n\n")
 				time.Sleep(test.leaves)
 				_ = conn.Close()
-			} else if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != all(6) || got.err != nil {
+			} else if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != allEvents(6) || got.err != nil {
 				t.Errorf("status %d, body %q, error %v", got.status, got.body, got.err)
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -149,8 +149,8 @@
 // versionWire also sends the version to servers.
 type versionWire struct{ testWire }
 
-func (versionWire) Outgoing(h http.Header, send Send) {
-	testWire{}.Outgoing(h, send)
+func (versionWire) SetRequestHeaders(h http.Header, send AttemptInfo) {
+	testWire{}.SetRequestHeaders(h, send)
 	h.Set("Version", strconv.Itoa(int(send.Version)))
 }
 
@@ -160,27 +160,27 @@
 	t.Parallel()
 	var mu sync.Mutex
 	var heads []http.Header
-	named := func(name string, before, pause time.Duration) answering {
+	named := func(name string, before, pause time.Duration) responder {
 		return func(conn net.Conn, _ int, r *http.Request) bool {
 			mu.Lock()
 			heads = append(heads, r.Header)
 			mu.Unlock()
 			from, _ := strconv.Atoi(r.Header.Get("Last"))
 			time.Sleep(before)
-			raw(conn, fmt.Sprintf(streamHeader, name))
+			writeRaw(conn, fmt.Sprintf(streamHeader, name))
 			for i := from + 1; i <= 20; i++ {
 				time.Sleep(pause)
 				writeChunk(conn, fmt.Sprintf("id: %d\ndata: %s%d\n\n", i, name, i))
 			}
-			finish(conn)
+			writeLastChunk(conn)
 			return false
 		}
 	}
 	both := firstThen(named("a", 0, 80*time.Millisecond), named("b", 250*time.Millisecond, 0))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
 	w.entry.cfg.Wire = versionWire{}
-	time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+	time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 	mu.Lock()
 	defer mu.Unlock()
@@ -207,15 +207,15 @@
 // TestStreamResumesOnSameVersionOnly checks that a stream is not moved to a server of another version.
 func TestStreamResumesOnSameVersionOnly(t *testing.T) {
 	t.Parallel()
-	both := firstThen(paced("a", 10, 100*time.Millisecond), streaming("b", 10, finish))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
+	both := firstThen(paced("a", 10, 100*time.Millisecond), streamEvents("b", 10, writeLastChunk))
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
 	time.AfterFunc(150*time.Millisecond, func() {
 		asked := min(two.arrivals(), 1)
-		w.report(asked, true)
-		w.entry.upstreams.heard(link.Report{Server: serverName(1 - asked), Model: engineModel, Version: 2}, time.Now())
+		w.reportClosing(asked, true)
+		w.entry.upstreams.applyReport(link.Report{Server: serverName(1 - asked), Model: testModel, Version: 2}, time.Now())
 	})
-	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != all(10) || one.arrivals()+two.arrivals() != 1 {
+	if got := w.ask(http.MethodPost, "/stream/a", "x", nil); got.body != allEvents(10) || one.arrivals()+two.arrivals() != 1 {
 		t.Errorf("%d sends, body %q, error %v", one.arrivals()+two.arrivals(), got.body, got.err)
 	}
 }
@@ -223,30 +223,30 @@
 // TestHandoverAttemptLimits checks how many servers are tried at most while the first one is silent.
 func TestHandoverAttemptLimits(t *testing.T) {
 	for name, test := range map[string]struct {
-		second answering
+		second responder
 		budget *retry.Budget
 		want   int
 	}{
-		"no budget":                 {refusing, retry.NewBudget(0, 0, time.Second), 1},
+		"no budget":                 {refuseNotRun, retry.NewBudget(0, 0, time.Second), 1},
 		"as many as route attempts": {delayed("b", 2800*time.Millisecond), retry.NewBudget(1, 100, time.Second), 2},
-		"maxRefusals":               {refusing, retry.NewBudget(1, 100, time.Second), 1 + maxRefusals},
+		"maxRefusals":               {refuseNotRun, retry.NewBudget(1, 100, time.Second), 1 + maxRefusals},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			each := firstThen(delayed("a", 2500*time.Millisecond), test.second)
-			fakes, addresses := make([]*fake, 8), make([]string, 8)
+			fakes, addresses := make([]*fakeServer, 8), make([]string, 8)
 			for i := range fakes {
-				fakes[i] = newFake(t, each)
+				fakes[i] = newFakeServer(t, each)
 				addresses[i] = fakes[i].address
 			}
-			w := newEngineWorld(t, addresses...)
+			w := newModelTestEnv(t, addresses...)
 			w.entry.budget = test.budget
 			got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 			sends := 0
 			for _, f := range fakes {
 				sends += f.arrivals()
 			}
-			if got.body != all(6) || got.err != nil || sends != test.want {
+			if got.body != allEvents(6) || got.err != nil || sends != test.want {
 				t.Errorf("%d sends, want %d; body %q, error %v", sends, test.want, got.body, got.err)
 			}
 		})
@@ -288,7 +288,7 @@
 		}
 		id := r.Header.Get("Id")
 		if pick < 5 {
-			raw(conn, "HTTP/1.1 503 No\nId: "+id+"\nNot-Run: 1\nConnection: close\nContent-Length: 0\n\n")
+			writeRaw(conn, "HTTP/1.1 503 No\nId: "+id+"\nNot-Run: 1\nConnection: close\nContent-Length: 0\n\n")
 			return false
 		}
 		mu.Lock()
@@ -297,7 +297,7 @@
 		if pick == 5 && !wait(2*time.Second) {
 			return false
 		}
-		raw(conn, "HTTP/1.1 200 OK\nId: "+id+"\nSeal: s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n")
+		writeRaw(conn, "HTTP/1.1 200 OK\nId: "+id+"\nSeal: s\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n")
 		from, _ := strconv.Atoi(r.Header.Get("Last"))
 		for i := from + 1; i <= events; i++ {
 			if !wait(rand.N(250 * time.Millisecond)) {
@@ -312,14 +312,14 @@
 			}
 			writeChunk(conn, fmt.Sprintf("id: %d\ndata: e%d\n\n", i, i))
 		}
-		finish(conn)
+		writeLastChunk(conn)
 		return false
 	}
 	addresses := make([]string, servers)
 	for i := range addresses {
-		addresses[i] = newFake(t, answer).address
+		addresses[i] = newFakeServer(t, answer).address
 	}
-	w := newEngineWorld(t, addresses...)
+	w := newModelTestEnv(t, addresses...)
 	w.entry.budget = retry.NewBudget(1, 1e6, time.Second)
 	route := w.entry.cfg.View.Config().Route("h", "/stream/a")
 	route.Attempts, route.Goal = attempts, time.Minute
@@ -330,7 +330,7 @@
 		for {
 			for i := range servers {
 				// Reports expire after 1.5 s.
-				w.heard(i, link.Report{Closing: rand.IntN(3) == 0})
+				w.applyReport(i, link.Report{Closing: rand.IntN(3) == 0})
 			}
 			select {
 			case <-stop:
@@ -355,12 +355,12 @@
 					refused.Add(1)
 				case got.err == nil:
 					whole.Add(1)
-					if got.body != all(events) {
+					if got.body != allEvents(events) {
 						t.Errorf("%s: whole, but %q", id, got.body)
 					}
 				default:
 					cut.Add(1)
-					if n := len(got.body); n > len(all(events)) || got.body != all(events)[:n] {
+					if n := len(got.body); n > len(allEvents(events)) || got.body != allEvents(events)[:n] {
 						t.Errorf("%s: cut, but %q", id, got.body)
 					}
 				}
@@ -391,14 +391,14 @@
 }
 
 // abandonStream sends a request, reads little of the response and closes the connection.
-func abandonStream(w *world, id string) {
+func abandonStream(w *testEnv, id string) {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	raw(conn, "POST /stream/a HTTP/1.1\nHost: h\nId: "+id+"\nContent-Length: 0\n\n")
+	writeRaw(conn, "POST /stream/a HTTP/1.1\nHost: h\nId: "+id+"\nContent-Length: 0\n\n")
 	time.Sleep(rand.N(2 * time.Second))
 	if rand.IntN(2) == 0 {
 		reset(conn)
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -13,24 +13,24 @@
 // server had begun to respond, and the server tried next refused.
 
 // refuseNotRun refuses every request without running it.
-var refusing = saying("HTTP/1.1 503 No\nId: r1\nNot-Run: 1\nContent-Length: 0\n\n")
+var refuseNotRun = respondWith("HTTP/1.1 503 No\nId: r1\nNot-Run: 1\nContent-Length: 0\n\n")
 
 // paced streams one event after each pause.
-func paced(seal string, to int, pause time.Duration) answering {
-	return streaming(seal, 0, func(conn net.Conn) {
+func paced(seal string, to int, pause time.Duration) responder {
+	return streamEvents(seal, 0, func(conn net.Conn) {
 		for i := 1; i <= to; i++ {
 			time.Sleep(pause)
-			events(conn, i, i)
+			writeEvents(conn, i, i)
 		}
-		finish(conn)
+		writeLastChunk(conn)
 	})
 }
 
 // delayed sends all events after a delay.
-func delayed(seal string, after time.Duration) answering {
+func delayed(seal string, after time.Duration) responder {
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(after)
-		return streaming(seal, 6, finish)(conn, n, r)
+		return streamEvents(seal, 6, writeLastChunk)(conn, n, r)
 	}
 }
 
@@ -39,30 +39,30 @@
 func TestNothingIsGivenUpBeforeAnotherHoldsIt(t *testing.T) {
 	const pause = 150 * time.Millisecond
 	for name, test := range map[string]struct {
-		first, second answering
+		first, second responder
 		// closes has the first server's box report closing after 100 ms.
 		closes bool
 		seal   string
 	}{
-		"second server refuses the rest of a stream":    {first: paced("a", 6, pause), second: refusing, closes: true, seal: "a"},
-		"second server breaks off":                      {first: paced("a", 6, pause), second: streaming("b", 0, breakOff), closes: true, seal: "a"},
+		"second server refuses the rest of a stream":    {first: paced("a", 6, pause), second: refuseNotRun, closes: true, seal: "a"},
+		"second server breaks off":                      {first: paced("a", 6, pause), second: streamEvents("b", 0, breakOff), closes: true, seal: "a"},
 		"second server is silent":                       {first: paced("a", 6, pause), second: delayed("b", 2*time.Second), closes: true, seal: "a"},
-		"second server refuses before the first event":  {first: delayed("a", 900*time.Millisecond), second: refusing, closes: true, seal: "a"},
-		"late first event, others refuse":               {first: delayed("a", 1400*time.Millisecond), second: refusing, seal: "a"},
-		"long pause, others refuse":                     {first: pausing("a", 3, 6, 1400*time.Millisecond), second: refusing, seal: "a"},
-		"late first event, another responds first":      {first: delayed("a", 2500*time.Millisecond), second: streaming("b", 6, finish), seal: "b"},
+		"second server refuses before the first event":  {first: delayed("a", 900*time.Millisecond), second: refuseNotRun, closes: true, seal: "a"},
+		"late first event, others refuse":               {first: delayed("a", 1400*time.Millisecond), second: refuseNotRun, seal: "a"},
+		"long pause, others refuse":                     {first: streamWithPause("a", 3, 6, 1400*time.Millisecond), second: refuseNotRun, seal: "a"},
+		"late first event, another responds first":      {first: delayed("a", 2500*time.Millisecond), second: streamEvents("b", 6, writeLastChunk), seal: "b"},
 		"stream ends before the second server responds": {first: paced("a", 6, 100*time.Millisecond), second: delayed("b", time.Second), closes: true, seal: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			both := firstThen(test.first, test.second)
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
 			if test.closes {
-				time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+				time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 			}
 			got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-			if got.status != http.StatusOK || got.err != nil || got.body != all(6) || got.header.Get("Seal") != test.seal {
+			if got.status != http.StatusOK || got.err != nil || got.body != allEvents(6) || got.header.Get("Seal") != test.seal {
 				t.Errorf("status %d, seal %q, body %q, error %v", got.status, got.header.Get("Seal"), got.body, got.err)
 			}
 		})
@@ -74,11 +74,11 @@
 	t.Parallel()
 	late := func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(1400 * time.Millisecond)
-		return good(conn, n, r)
+		return respondOK(conn, n, r)
 	}
-	both := firstThen(late, refusing)
-	one, two := newFake(t, both), newFake(t, both)
-	w := newWorld(t, false, one.address, two.address)
+	both := firstThen(late, refuseNotRun)
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newTestEnv(t, false, one.address, two.address)
 	if got := w.ask(http.MethodGet, "/safe/a", "", nil); got.status != http.StatusOK || got.body != "hello" {
 		t.Errorf("status %d, body %q, error %v", got.status, got.body, got.err)
 	}
@@ -86,17 +86,17 @@
 
 // TestRefusalsUseUpNoAttempt checks that a server that did not run a request does not count as an attempt.
 func TestRefusalsUseUpNoAttempt(t *testing.T) {
-	for name, first := range map[string]answering{
-		"stream breaks off": streaming("a", 3, breakOff),
+	for name, first := range map[string]responder{
+		"stream breaks off": streamEvents("a", 3, breakOff),
 		"no response":       func(conn net.Conn, _ int, _ *http.Request) bool { return reset(conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			each := firstThen(first, firstThen(refusing, streaming("b", 6, finish)))
-			a, b, c := newFake(t, each), newFake(t, each), newFake(t, each)
-			w := newEngineWorld(t, a.address, b.address, c.address)
+			each := firstThen(first, firstThen(refuseNotRun, streamEvents("b", 6, writeLastChunk)))
+			a, b, c := newFakeServer(t, each), newFakeServer(t, each), newFakeServer(t, each)
+			w := newModelTestEnv(t, a.address, b.address, c.address)
 			got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-			if got.status != http.StatusOK || got.err != nil || got.body != all(6) {
+			if got.status != http.StatusOK || got.err != nil || got.body != allEvents(6) {
 				t.Errorf("status %d, body %q, error %v", got.status, got.body, got.err)
 			}
 		})
@@ -119,10 +119,10 @@
 			time.Sleep(5 * time.Second)
 			return false
 		}
-		return good(conn, n, r)
+		return respondOK(conn, n, r)
 	}
-	one, two := newFake(t, answer), newFake(t, answer)
-	w := newWorld(t, false, one.address, two.address)
+	one, two := newFakeServer(t, answer), newFakeServer(t, answer)
+	w := newTestEnv(t, false, one.address, two.address)
 	for range 20 {
 		if got := w.ask(http.MethodGet, "/safe/a", "", nil); got.status != http.StatusOK {
 			t.Fatalf("status %d", got.status)
--- a/forward/held.go
+++ b/forward/held.go
@@ -28,7 +28,7 @@
 
 // cancelQuarantined cancels attempts of quarantined requests that have no response yet: one that still waits has not
 // caused an exit.
-func (e *Entry) takeBackHeld() {
+func (e *Entry) cancelQuarantined() {
 	for _, c := range e.calls.list() {
 		if c.quarantined() {
 			c.cancelPending(&QuarantinedError{})
--- a/forward/held_test.go
+++ b/forward/held_test.go
@@ -15,17 +15,17 @@
 type crashingServers struct {
 	mu    sync.Mutex
 	exits int
-	all   []*fake
+	all   []*fakeServer
 }
 
 func newCrashingServers(t *testing.T, n int, delay time.Duration) *crashingServers {
 	t.Helper()
 	m := &crashingServers{}
 	for range n {
-		var server *fake
-		server = newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
+		var server *fakeServer
+		server = newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool {
 			if !strings.Contains(r.URL.Path, "deadly") {
-				return good(conn, n, r)
+				return respondOK(conn, n, r)
 			}
 			time.Sleep(delay)
 			m.mu.Lock()
@@ -69,10 +69,10 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			servers := newCrashingServers(t, 6, 0)
-			w := newWorld(t, false, servers.addresses()...)
+			w := newTestEnv(t, false, servers.addresses()...)
 			for n := range 8 {
 				got := w.ask(http.MethodPost, path+"deadly", "x", nil)
-				time.Sleep(2 * endGather)
+				time.Sleep(2 * exitLogDelay)
 				held := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
 				if n >= 3 && !held {
 					t.Errorf("send %d: status %d, want 503 with Retry-After", n+1, got.status)
@@ -92,7 +92,7 @@
 // quarantined.
 func TestHeldRequestsAreTakenBack(t *testing.T) {
 	servers := newCrashingServers(t, 2, time.Second)
-	w := newWorld(t, false, servers.addresses()...)
+	w := newTestEnv(t, false, servers.addresses()...)
 	answered := make(chan result)
 	go func() { answered <- w.ask(http.MethodPost, "/safe/deadly", "x", nil) }()
 	time.Sleep(200 * time.Millisecond)
@@ -114,7 +114,7 @@
 // exits.
 func TestAnsweredRequestsAreNotHeld(t *testing.T) {
 	servers := newCrashingServers(t, 1, 0)
-	w := newWorld(t, false, servers.addresses()...)
+	w := newTestEnv(t, false, servers.addresses()...)
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/popular", []byte("x"))
 	for _, life := range []string{"1", "2", "3", "4", "5"} {
 		w.entry.cfg.Quarantine.Ended(life, []quarantine.Fingerprint{request})
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -46,7 +46,7 @@
 func (u *upstream) successor(born int64) *upstream {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	next := &upstream{server: u.server, born: born, listedBorn: u.listedBorn, weight: u.weight, missing: u.missing, goneAt: u.goneAt}
+	next := &upstream{server: u.server, born: born, listedBorn: u.listedBorn, weight: u.weight, missing: u.missing, unusableAt: u.unusableAt}
 	next.server.Born, next.server.Loaded = born, nil
 	return next
 }
@@ -56,7 +56,7 @@
 func (u *upstream) abortInFlight() {
 	u.mu.Lock()
 	var ends []func(error)
-	for t := range u.tickets {
+	for t := range u.inFlightRequests {
 		if t.abort != nil && !t.connected.IsZero() && t.connected.Before(u.reportAt) {
 			ends = append(ends, t.abort)
 		}
@@ -69,14 +69,14 @@
 }
 
 // setConnectedAt records when the connection of the request was opened.
-func (t *ticket) connectedAt(opened time.Time) {
+func (t *inFlightRequest) setConnectedAt(opened time.Time) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
 	t.connected = opened
 }
 
 // onServerRestart sets the function that aborts the request when its server restarts.
-func (t *ticket) whenRestarted(abandon func(cause error)) {
+func (t *inFlightRequest) onServerRestart(abandon func(cause error)) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
 	t.abort = abandon
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -14,13 +14,13 @@
 // listedServer returns the list entry of the test's server with a start time and the version that it runs.
 func listedServer(born int64, version contract.Version) view.Listed {
 	return view.Listed{Server: contract.Server{
-		ID: serverName(0), Service: "s", Address: "h:1", Slots: 8, Born: born, Loaded: map[string]contract.Version{engineModel: version},
+		ID: serverName(0), Service: "s", Address: "h:1", Slots: 8, Born: born, Loaded: map[string]contract.Version{testModel: version},
 	}}
 }
 
 // boxReport returns a report of the box of the test's server.
 func boxReport(born, version int64) link.Report {
-	return link.Report{Server: serverName(0), Model: engineModel, Version: version, Born: born, Closing: version == 1}
+	return link.Report{Server: serverName(0), Model: testModel, Version: version, Born: born, Closing: version == 1}
 }
 
 // TestLives checks which incarnation of a server an entry assumes, in whatever order reports and list updates arrive.
@@ -30,7 +30,7 @@
 		return func(us *upstreams, _ time.Time) { us.update([]view.Listed{listedServer(born, version)}) }
 	}
 	reports := func(born, version int64) message {
-		return func(us *upstreams, now time.Time) { us.heard(boxReport(born, version), now) }
+		return func(us *upstreams, now time.Time) { us.applyReport(boxReport(born, version), now) }
 	}
 	for name, test := range map[string]struct {
 		messages []message
@@ -56,20 +56,20 @@
 			us, now := &upstreams{}, time.Now()
 			test.messages[0](us, now)
 			first := us.byServer(serverName(0))
-			first.take(100, 0, 1, now)
-			first.failed(now)
+			first.tryAcquire(100, 0, 1, now)
+			first.recordFailure(now)
 			first.observeLag(time.Second, now)
 			for _, apply := range test.messages[1:] {
 				apply(us, now)
 			}
 			up := us.byServer(serverName(0))
-			if up != us.of("s")[0] {
+			if up != us.preferred("s")[0] {
 				t.Fatal("server is known twice")
 			}
-			if replaced := up.inFlight == 0 && up.failures == 0 && up.faded(now) == 0; replaced != test.replaced {
-				t.Errorf("%d requests in flight, %d failures, lag %s, want state discarded %t", up.inFlight, up.failures, up.faded(now), test.replaced)
+			if replaced := up.inFlight == 0 && up.failures == 0 && up.currentLag(now) == 0; replaced != test.replaced {
+				t.Errorf("%d requests in flight, %d failures, lag %s, want state discarded %t", up.inFlight, up.failures, up.currentLag(now), test.replaced)
 			}
-			if got := up.version(engineModel, now); got != test.version {
+			if got := up.version(testModel, now); got != test.version {
 				t.Errorf("version %d, want %d", got, test.version)
 			}
 			if test.replaced && up.closing(now) {
@@ -88,21 +88,21 @@
 		status int
 		body   string
 	}{
-		"resumable stream": {"/stream/a", http.StatusOK, all(6)},
-		"not repeatable":   {"/stream/once/a", 0, all(3)},
+		"resumable stream": {"/stream/a", http.StatusOK, allEvents(6)},
+		"not repeatable":   {"/stream/once/a", 0, allEvents(3)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hangs := streaming("a", 3, func(net.Conn) { time.Sleep(5 * time.Second) })
-			both := firstThen(hangs, streaming("b", 6, finish))
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
+			hangs := streamEvents("a", 3, func(net.Conn) { time.Sleep(5 * time.Second) })
+			both := firstThen(hangs, streamEvents("b", 6, writeLastChunk))
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
 			w.entry.upstreams.update([]view.Listed{w.listedBorn(0, 10), w.listedBorn(1, 10)})
 			time.AfterFunc(restartAfter, func() {
-				for i, server := range []*fake{one, two} {
+				for i, server := range []*fakeServer{one, two} {
 					if server.arrivals() > 0 {
-						w.heard(i, link.Report{Born: 10})
-						w.heard(i, link.Report{Born: 20})
+						w.applyReport(i, link.Report{Born: 10})
+						w.applyReport(i, link.Report{Born: 20})
 					}
 				}
 			})
@@ -119,7 +119,7 @@
 }
 
 // listedBorn returns a server's list entry with a start time.
-func (w *world) listedBorn(i int, born int64) view.Listed {
+func (w *testEnv) listedBorn(i int, born int64) view.Listed {
 	for _, server := range w.entry.cfg.View.Servers() {
 		if server.ID == serverName(i) {
 			server.Born = born
--- a/forward/leave.go
+++ b/forward/leave.go
@@ -15,7 +15,7 @@
 	lameDuckTime = 2500 * time.Millisecond
 	// quietPeriod is how long nothing must have arrived before a leave ends: an arrival after lameDuckTime means that the balancer
 	// still sends connections.
-	quietTime = time.Second
+	quietPeriod = time.Second
 	// Callers reuse an idle connection for idleReuseShare of the announced idle timeout; idleReuseMargin covers the network
 	// delay.
 	idleReuseShare  = 0.8
@@ -42,10 +42,10 @@
 	e.leaving.Store(true)
 	e.log.Info("entry: leaving")
 	pollUntil(ctx, closes, func(now time.Time) bool {
-		return now.Sub(began) >= lameDuckTime && e.conns.settled(now, e.idleReuseTime())
+		return now.Sub(began) >= lameDuckTime && e.conns.drained(now, e.idleReuseTime())
 	})
-	early := e.conns.kept(clock.Now(), e.idleReuseTime())
-	pollUntil(ctx, deadline, e.conns.closeResting)
+	early := e.conns.reusable(clock.Now(), e.idleReuseTime())
+	pollUntil(ctx, deadline, e.conns.closeIdle)
 	e.logLeft(began, early)
 	_ = e.callers.Close()
 }
@@ -95,16 +95,16 @@
 
 // finishesBeforeLeave reports whether the request ends before a leaving entry stops, by its own deadline or by the prediction for the
 // best server. Queue wait and answer length may exceed their predictions by leaveFactor, the length up to the caller's limit.
-func (c *call) endsInTime(now time.Time) bool {
+func (c *call) finishesBeforeLeave(now time.Time) bool {
 	closes := c.entry.closesIdleAt.Load()
-	if closes == nil || !c.ends.After(*closes) {
+	if closes == nil || !c.deadline.After(*closes) {
 		return true
 	}
 	model := c.service.Engine
 	if model == nil || model.ReadRate <= 0 || now.After(c.entry.lameDuckEnd(*closes)) {
 		return false
 	}
-	ch, ok := c.entry.choose(c.wanted(), now)
+	ch, ok := c.entry.choose(c.requirements(), now)
 	if !ok {
 		return true
 	}
@@ -113,13 +113,13 @@
 		tokens = model.UsualAnswer
 	}
 	tokens *= leaveFactor
-	if c.ask.Answer > 0 {
-		tokens = min(tokens, c.ask.Answer)
+	if c.ask.MaxAnswerTokens > 0 {
+		tokens = min(tokens, c.ask.MaxAnswerTokens)
 	}
 	duration := leaveFactor*ch.first + engine.Write(model, ch.load, tokens) + leaveMargin
 	if now.Add(duration).Before(*closes) {
 		return true
 	}
-	c.last = ch
+	c.lastChoice = ch
 	return false
 }
--- a/forward/leave_test.go
+++ b/forward/leave_test.go
@@ -23,7 +23,7 @@
 	for name, keepAlive := range map[string]bool{"keep-alive connection": true, "new connection": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newLeavingWorld(t, contract.Service{}, 4*time.Second, 6*time.Second, newFake(t, good).address)
+			w := newLeavingEnv(t, contract.Service{}, 4*time.Second, 6*time.Second, newFakeServer(t, respondOK).address)
 			c := w.mustConnect()
 			if got := c.ask("/safe/a", ""); got.status != http.StatusOK || got.closes {
 				t.Fatalf("status %d, closes %v before the leave", got.status, got.closes)
@@ -50,7 +50,7 @@
 func TestLeavingEntryWaitsForKeptConnections(t *testing.T) {
 	t.Parallel()
 	const idle = 4 * time.Second
-	w := newLeavingWorld(t, contract.Service{}, idle, 8*time.Second, newFake(t, good).address)
+	w := newLeavingEnv(t, contract.Service{}, idle, 8*time.Second, newFakeServer(t, respondOK).address)
 	c := w.mustConnect()
 	if got := c.ask("/safe/a", ""); got.status != http.StatusOK {
 		t.Fatalf("status %d", got.status)
@@ -70,8 +70,8 @@
 // TestLeavingEntryFinishesInFlightRequests checks that a request which outlasts the lame duck time is answered completely.
 func TestLeavingEntryFinishesInFlightRequests(t *testing.T) {
 	t.Parallel()
-	slow := newFake(t, firstThen(good, withDelay(1500*time.Millisecond, good)))
-	w := newLeavingWorld(t, contract.Service{}, 100*time.Millisecond, 6*time.Second, slow.address)
+	slow := newFakeServer(t, firstThen(respondOK, withDelay(1500*time.Millisecond, respondOK)))
+	w := newLeavingEnv(t, contract.Service{}, 100*time.Millisecond, 6*time.Second, slow.address)
 	idle := w.mustConnect()
 	if got := idle.ask("/safe/a", ""); got.status != http.StatusOK {
 		t.Fatalf("status %d", got.status)
@@ -95,7 +95,7 @@
 	t.Parallel()
 	model := contract.Service{Engine: &contract.Engine{
 		Slots: 8, Stride: 1, Chunk: 1000, Step: time.Millisecond, ReadRate: 1e5, UsualPrompt: 100, UsualAnswer: 50,
-		Models: []contract.Model{{Name: engineModel}},
+		Models: []contract.Model{{Name: testModel}},
 	}}
 	for name, test := range map[string]struct {
 		service      contract.Service
@@ -112,8 +112,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			server := newFake(t, good)
-			w := newLeavingWorld(t, test.service, time.Second, 3*time.Second, server.address)
+			server := newFakeServer(t, respondOK)
+			w := newLeavingEnv(t, test.service, time.Second, 3*time.Second, server.address)
 			w.startLeave()
 			got := w.mustConnect().ask(test.path, test.header)
 			if test.started {
@@ -133,7 +133,7 @@
 // TestRequestsCutAtTheDeadlineAreLogged checks that requests in flight at the deadline are logged and counted.
 func TestRequestsCutAtTheDeadlineAreLogged(t *testing.T) {
 	t.Parallel()
-	w := newLeavingWorld(t, contract.Service{}, time.Second, 2*time.Second, newFake(t, withDelay(3*time.Second, good)).address)
+	w := newLeavingEnv(t, contract.Service{}, time.Second, 2*time.Second, newFakeServer(t, withDelay(3*time.Second, respondOK)).address)
 	c := w.mustConnect()
 	if err := c.send("/once/a", ""); err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 // TestSecondSignalEndsALeave checks that cancelling a leave stops the entry at once.
 func TestSecondSignalEndsALeave(t *testing.T) {
 	t.Parallel()
-	w := newLeavingWorld(t, contract.Service{}, time.Second, 6*time.Second, newFake(t, withDelay(3*time.Second, good)).address)
+	w := newLeavingEnv(t, contract.Service{}, time.Second, 6*time.Second, newFakeServer(t, withDelay(3*time.Second, respondOK)).address)
 	if err := w.mustConnect().send("/once/a", ""); err != nil {
 		t.Fatal(err)
 	}
@@ -183,8 +183,8 @@
 		callers = 90
 		grace   = 2 * time.Second
 	)
-	server := newFake(t, withDelay(20*time.Millisecond, good))
-	w := newLeavingWorld(t, contract.Service{}, time.Minute, grace, server.address)
+	server := newFakeServer(t, withDelay(20*time.Millisecond, respondOK))
+	w := newLeavingEnv(t, contract.Service{}, time.Minute, grace, server.address)
 	conns := make([]*clientConn, callers)
 	for i := range conns {
 		conns[i] = w.mustConnect()
@@ -225,18 +225,18 @@
 
 type panicWire struct{ lengthWire }
 
-func (w panicWire) Ask(r *http.Request) Ask {
+func (w panicWire) ParseRequest(r *http.Request) RequestInfo {
 	if strings.HasPrefix(r.URL.Path, "/panics/") {
 		panic("a fault")
 	}
-	return w.lengthWire.Ask(r)
+	return w.lengthWire.ParseRequest(r)
 }
 
 // TestHTTPServerErrorsAreLogged checks that errors of the net/http servers go to the entry's log, and that panics are counted.
 func TestHTTPServerErrorsAreLogged(t *testing.T) {
 	t.Parallel()
 	panics := metrics.GetOrCreateCounter("coralstair_panics_total")
-	w := newLeavingWorld(t, contract.Service{}, time.Second, 3*time.Second, newFake(t, good).address)
+	w := newLeavingEnv(t, contract.Service{}, time.Second, 3*time.Second, newFakeServer(t, respondOK).address)
 	w.entry.cfg.Wire = panicWire{}
 	before := panics.Get()
 	if got := w.mustConnect().ask("/panics/a", ""); got.err == nil {
@@ -258,7 +258,7 @@
 }
 
 // checkLogLine checks that a message was logged with a one-line cause.
-func checkLogLine(t *testing.T, w *leavingWorld, message, cause string) {
+func checkLogLine(t *testing.T, w *leavingEnv, message, cause string) {
 	t.Helper()
 	line := w.line(message)
 	if line == nil {
@@ -275,11 +275,11 @@
 	t.Parallel()
 	model := contract.Service{Engine: &contract.Engine{
 		Slots: 8, Stride: 1, Chunk: 1000, Step: time.Millisecond, ReadRate: 1e5, UsualPrompt: 100, UsualAnswer: 50,
-		Models: []contract.Model{{Name: engineModel}},
+		Models: []contract.Model{{Name: testModel}},
 	}}
-	both := firstThen(withDelay(1400*time.Millisecond, refusing), good)
-	one, two := newFake(t, both), newFake(t, both)
-	w := newLeavingWorld(t, model, time.Second, 3*time.Second, one.address, two.address)
+	both := firstThen(withDelay(1400*time.Millisecond, refuseNotRun), respondOK)
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newLeavingEnv(t, model, time.Second, 3*time.Second, one.address, two.address)
 	w.startLeave()
 	time.Sleep(500 * time.Millisecond)
 	got := w.mustConnect().ask("/once/two/a", "")
@@ -294,10 +294,10 @@
 	t.Parallel()
 	model := contract.Service{Engine: &contract.Engine{
 		Slots: 8, Stride: 1, Chunk: 1000, Step: time.Millisecond, ReadRate: 1e5, UsualPrompt: 100, UsualAnswer: 50,
-		Models: []contract.Model{{Name: engineModel}},
+		Models: []contract.Model{{Name: testModel}},
 	}}
-	server := newFake(t, good)
-	w := newLeavingWorld(t, model, time.Second, 6*time.Second, server.address)
+	server := newFakeServer(t, respondOK)
+	w := newLeavingEnv(t, model, time.Second, 6*time.Second, server.address)
 	w.startLeave()
 	early, late := w.mustConnect(), w.mustConnect()
 	time.Sleep(lameDuckTime - 200*time.Millisecond)
--- a/forward/leavefixture_test.go
+++ b/forward/leavefixture_test.go
@@ -21,16 +21,16 @@
 // lengthWire is testWire with the answer's token limit.
 type lengthWire struct{ testWire }
 
-func (w lengthWire) Ask(r *http.Request) Ask {
-	info := w.testWire.Ask(r)
-	info.Answer, _ = strconv.Atoi(r.Header.Get("Most"))
+func (w lengthWire) ParseRequest(r *http.Request) RequestInfo {
+	info := w.testWire.ParseRequest(r)
+	info.MaxAnswerTokens, _ = strconv.Atoi(r.Header.Get("Most"))
 	return info
 }
 
 // leavingEnv is an entry that is going to leave, served at a listener of its own.
-type leavingWorld struct {
-	*world
-	lines *lines
+type leavingEnv struct {
+	*testEnv
+	lines *logRecorder
 	ready string
 	left  chan time.Time
 	stop  context.CancelFunc
@@ -38,7 +38,7 @@
 
 // newLeavingEnv returns an entry in front of servers of a service; idle is the callers' idle timeout, grace the time limit of a
 // planned stop.
-func newLeavingWorld(t *testing.T, service contract.Service, idle, grace time.Duration, addresses ...string) *leavingWorld {
+func newLeavingEnv(t *testing.T, service contract.Service, idle, grace time.Duration, addresses ...string) *leavingEnv {
 	t.Helper()
 	service.Name, service.MaxConns = "s", 100
 	routes := make([]contract.Route, len(testRoutes))
@@ -51,15 +51,15 @@
 	source := fixedSource{declared: view.Declared{Config: cfg}}
 	for i, address := range addresses {
 		source.servers.Present = append(source.servers.Present, contract.Server{
-			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{engineModel: 1},
+			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
 		})
 	}
-	w := &leavingWorld{world: newTestEnvFrom(t, source), lines: &lines{}, left: make(chan time.Time, 1)}
+	w := &leavingEnv{testEnv: newTestEnvFrom(t, source), lines: &logRecorder{}, left: make(chan time.Time, 1)}
 	w.entry.log = &log.Logger{Handler: w.lines, Level: log.InfoLevel}
 	w.entry.cfg.Wire = lengthWire{}
 	w.entry.cfg.Machine.Bounds.Grace = grace
 	for i := range addresses {
-		w.report(i, false)
+		w.reportClosing(i, false)
 	}
 	w.url = w.serve(w.entry.callers)
 	w.ready = w.serve(w.entry.ready)
@@ -67,7 +67,7 @@
 }
 
 // serve runs one of the entry's HTTP servers and returns its address.
-func (w *leavingWorld) serve(server *http.Server) string {
+func (w *leavingEnv) serve(server *http.Server) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
@@ -77,7 +77,7 @@
 }
 
 // startLeave starts the leave and waits until it has begun.
-func (w *leavingWorld) startLeave() {
+func (w *leavingEnv) startLeave() {
 	ctx, cancel := context.WithCancel(w.t.Context())
 	w.stop = cancel
 	w.t.Cleanup(cancel)
@@ -91,7 +91,7 @@
 }
 
 // awaitLeft waits until the entry has left and returns when that was.
-func (w *leavingWorld) awaitLeft() time.Time {
+func (w *leavingEnv) awaitLeft() time.Time {
 	w.t.Helper()
 	select {
 	case at := <-w.left:
@@ -103,23 +103,23 @@
 }
 
 // line returns the latest log line with a message; nil if there is none.
-func (w *leavingWorld) line(message string) *log.Entry { return w.lines.of(message) }
+func (w *leavingEnv) line(message string) *log.Entry { return w.lines.of(message) }
 
 // logRecorder keeps the latest log line for each message.
-type lines struct {
+type logRecorder struct {
 	mu     sync.Mutex
 	latest map[string]*log.Entry
 }
 
 // of returns the latest line with a message; nil if there is none.
-func (l *lines) of(message string) *log.Entry {
+func (l *logRecorder) of(message string) *log.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.latest[message]
 }
 
 // HandleLog implements log.Handler.
-func (l *lines) HandleLog(line *log.Entry) error {
+func (l *logRecorder) HandleLog(line *log.Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.latest == nil {
@@ -135,7 +135,7 @@
 	reader *bufio.Reader
 }
 
-func (w *leavingWorld) connect() (*clientConn, error) {
+func (w *leavingEnv) connect() (*clientConn, error) {
 	conn, err := net.DialTimeout("tcp", w.url, time.Second)
 	if err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	return &clientConn{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-func (w *leavingWorld) mustConnect() *clientConn {
+func (w *leavingEnv) mustConnect() *clientConn {
 	w.t.Helper()
 	c, err := w.connect()
 	if err != nil {
@@ -189,7 +189,7 @@
 }
 
 // withDelay calls a responder after a pause.
-func withDelay(pause time.Duration, answer answering) answering {
+func withDelay(pause time.Duration, answer responder) responder {
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		time.Sleep(pause)
 		return answer(conn, n, r)
--- a/forward/move.go
+++ b/forward/move.go
@@ -9,7 +9,7 @@
 const (
 	// moveDelay is how long after a server closes its remaining requests are moved. The server can load only once
 	// they have ended; moving them earlier makes other servers prefill more prompts again.
-	moveAfter = 400 * time.Millisecond
+	moveDelay = 400 * time.Millisecond
 	// moveRetryInterval is the pause before requests that found no server are moved again.
 	moveRetryInterval = 100 * time.Millisecond
 	// movePauseFraction is the part of the pause goal that a move may take.
@@ -56,18 +56,18 @@
 }
 
 // moveRequests moves requests off a closing server, and retries until none is left.
-func (u *upstream) moveOn() {
+func (u *upstream) moveRequests() {
 	u.mu.Lock()
 	var moves []func()
 	if u.closing(clock.Now()) {
-		for t := range u.tickets {
-			if t.move != nil {
-				moves = append(moves, t.move)
+		for t := range u.inFlightRequests {
+			if t.moveAway != nil {
+				moves = append(moves, t.moveAway)
 			}
 		}
 	}
 	if len(moves) > 0 {
-		time.AfterFunc(moveRetryInterval, u.moveOn)
+		time.AfterFunc(moveRetryInterval, u.moveRequests)
 	}
 	u.mu.Unlock()
 	for _, move := range moves {
@@ -83,10 +83,10 @@
 }
 
 // onClosing sets the function that moves the request when its server closes.
-func (t *ticket) onClosing(move func()) {
+func (t *inFlightRequest) onClosing(move func()) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
-	t.move = move
+	t.moveAway = move
 }
 
 // move hedges the request because its server is closing: from the start, or for a stream from the next event on the
@@ -97,7 +97,7 @@
 
 // tooFewServers reports whether so few servers can't take over the requests of the others.
 func (c *call) tooFewServers(servers int) bool {
-	return servers*takeoverDivisor < len(c.entry.upstreams.of(c.service.Name))
+	return servers*takeoverDivisor < len(c.entry.upstreams.preferred(c.service.Name))
 }
 
 // moveTimeLimit returns how long the first event may take at the new server; the call's mutex is held.
@@ -106,7 +106,7 @@
 	switch {
 	case c.stream == nil:
 		return c.route.Goal
-	case a.choice.up.nearlyDrained():
+	case a.choice.upstream.nearlyDrained():
 		return drainedPauseFactor * c.route.PauseGoal
 	default:
 		return time.Duration(movePauseFraction * float64(c.route.PauseGoal))
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -19,7 +19,7 @@
 }
 
 // recorded records a request's priority before it is answered.
-func (p *priorities) recorded(answer answering) answering {
+func (p *priorities) recorded(answer responder) responder {
 	return func(conn net.Conn, n int, r *http.Request) bool {
 		p.mu.Lock()
 		p.seen = append(p.seen, r.Header.Get("Rank"))
@@ -41,7 +41,7 @@
 	long := 1500 * time.Millisecond
 	for name, test := range map[string]struct {
 		path  string
-		first answering
+		first responder
 		// alone has the other server close too; opens is when it takes requests again.
 		alone bool
 		opens time.Duration
@@ -50,43 +50,43 @@
 		seal   string
 		moved  bool
 	}{
-		"stream moves": {path: "/stream/a", first: pausing("a", 3, 6, long), seal: "a", moved: true},
+		"stream moves": {path: "/stream/a", first: streamWithPause("a", 3, 6, long), seal: "a", moved: true},
 		"request without an event restarts": {path: "/stream/a", first: func(conn net.Conn, n int, r *http.Request) bool {
 			time.Sleep(long)
-			return streaming("a", 6, finish)(conn, n, r)
+			return streamEvents("a", 6, writeLastChunk)(conn, n, r)
 		}, seal: "b", moved: true},
-		"no other server": {path: "/stream/a", first: pausing("a", 3, 6, 400*time.Millisecond), alone: true, seal: "a"},
+		"no other server": {path: "/stream/a", first: streamWithPause("a", 3, 6, 400*time.Millisecond), alone: true, seal: "a"},
 		"server found later": {
-			path: "/stream/a", first: pausing("a", 3, 6, 750*time.Millisecond), alone: true, opens: 450 * time.Millisecond,
+			path: "/stream/a", first: streamWithPause("a", 3, 6, 750*time.Millisecond), alone: true, opens: 450 * time.Millisecond,
 			seal: "a", moved: true,
 		},
 		"other server closes too soon": {
-			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + moveAfter/2, seal: "a",
+			path: "/stream/a", first: streamWithPause("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + moveDelay/2, seal: "a",
 		},
 		"other server closes later": {
-			path: "/stream/a", first: pausing("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + 2*moveAfter, seal: "a", moved: true,
+			path: "/stream/a", first: streamWithPause("a", 3, 6, 700*time.Millisecond), closes: minTurnLead + 2*moveDelay, seal: "a", moved: true,
 		},
-		"not repeatable": {path: "/stream/once/a", first: pausing("a", 3, 6, 400*time.Millisecond), seal: "a"},
+		"not repeatable": {path: "/stream/once/a", first: streamWithPause("a", 3, 6, 400*time.Millisecond), seal: "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var seen priorities
-			both := firstThen(seen.recorded(test.first), seen.recorded(streaming("b", 6, finish)))
-			one, two := newFake(t, both), newFake(t, both)
-			w := newEngineWorld(t, one.address, two.address)
+			both := firstThen(seen.recorded(test.first), seen.recorded(streamEvents("b", 6, writeLastChunk)))
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
+			w := newModelTestEnv(t, one.address, two.address)
 			time.AfterFunc(100*time.Millisecond, func() {
 				asked := 0
 				if two.arrivals() > 0 {
 					asked = 1
 				}
-				w.report(asked, true)
-				w.heard(1-asked, link.Report{Closing: test.alone, Closes: test.closes})
+				w.reportClosing(asked, true)
+				w.applyReport(1-asked, link.Report{Closing: test.alone, Closes: test.closes})
 				if test.opens > 0 {
-					time.AfterFunc(test.opens, func() { w.report(1-asked, false) })
+					time.AfterFunc(test.opens, func() { w.reportClosing(1-asked, false) })
 				}
 			})
 			got := w.ask(http.MethodPost, test.path, "x", nil)
-			if got.status != http.StatusOK || got.err != nil || got.body != all(6) || got.header.Get("Seal") != test.seal {
+			if got.status != http.StatusOK || got.err != nil || got.body != allEvents(6) || got.header.Get("Seal") != test.seal {
 				t.Errorf("status %d, seal %q, body %q, error %v", got.status, got.header.Get("Seal"), got.body, got.err)
 			}
 			if moved := one.arrivals()+two.arrivals() == 2; moved != test.moved {
@@ -111,19 +111,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			both := firstThen(pausing("a", 3, 6, 700*time.Millisecond), streaming("b", 6, finish))
-			one, two := newFake(t, both), newFake(t, both)
+			both := firstThen(streamWithPause("a", 3, 6, 700*time.Millisecond), streamEvents("b", 6, writeLastChunk))
+			one, two := newFakeServer(t, both), newFakeServer(t, both)
 			addresses := []string{one.address, two.address}
 			for i := range test.others {
 				addresses = append(addresses, "127.0.0.1:"+strconv.Itoa(1+i))
 			}
-			w := newEngineWorld(t, addresses...)
+			w := newModelTestEnv(t, addresses...)
 			for i := range test.others {
-				w.report(2+i, true)
+				w.reportClosing(2+i, true)
 			}
-			time.AfterFunc(100*time.Millisecond, func() { w.report(min(two.arrivals(), 1), true) })
+			time.AfterFunc(100*time.Millisecond, func() { w.reportClosing(min(two.arrivals(), 1), true) })
 			got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-			if got.status != http.StatusOK || got.err != nil || got.body != all(6) {
+			if got.status != http.StatusOK || got.err != nil || got.body != allEvents(6) {
 				t.Errorf("status %d, body %q, error %v", got.status, got.body, got.err)
 			}
 			if moved := one.arrivals()+two.arrivals() == 2; moved != test.moved {
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -11,17 +11,17 @@
 )
 
 // recordResult records an attempt's result for the request's log line, the server's health and the quarantine.
-func (c *call) recordResult(a *attempt, result step, err error) {
+func (c *call) recordResult(a *attempt, result attemptResult, err error) {
 	if c.r.Context().Err() != nil {
 		// A cancellation by the caller says nothing about the server.
 		return
 	}
-	reason, ejection := a.choice.up.recordResult(result, err, clock.Now())
-	lost := a.brokenOff(result, err)
+	reason, ejection := a.choice.upstream.recordResult(result, err, clock.Now())
+	lost := a.connectionLost(result, err)
 	switch {
 	case lost:
-		c.entry.noteBroken(a, err)
-	case result == stepFailed, result == stepDone && err == nil:
+		c.entry.awaitExitCheck(a, err)
+	case result == resultFailed, result == resultDone && err == nil:
 		c.recordResponse()
 	}
 	if err != nil {
@@ -43,29 +43,29 @@
 }
 
 // recordResult updates the server's health; it returns the result as a word and how long the server is now ejected.
-func (u *upstream) recordResult(result step, err error, now time.Time) (reason string, ejection time.Duration) {
+func (u *upstream) recordResult(result attemptResult, err error, now time.Time) (reason string, ejection time.Duration) {
 	switch {
-	case result == stepNotRun:
+	case result == resultNotRun:
 		return "not-run", 0
-	case result == stepFailed:
+	case result == resultFailed:
 		return "failed", 0
-	case result == stepDone && err != nil:
-		return "done", u.failed(now)
-	case result == stepDone:
-		u.succeeded()
+	case result == resultDone && err != nil:
+		return "done", u.recordFailure(now)
+	case result == resultDone:
+		u.recordSuccess()
 		return "done", 0
 	case errors.As(err, new(*SupersededError)), errors.As(err, new(*SilentServerError)), errors.As(err, new(*VersionDeadlineError)),
 		errors.As(err, new(*QuarantinedError)):
 		return "left", 0
 	default:
-		return "lost", u.failed(now)
+		return "lost", u.recordFailure(now)
 	}
 }
 
 // refuse responds with an error of the entry's own.
 func (c *call) refuse(status int, slug, detail string, after time.Duration, cause error) {
 	if status == http.StatusServiceUnavailable {
-		c.noteRefused()
+		c.announceRefusal()
 	}
 	c.entry.refuse(c.w, c.ask.ID, status, slug, detail, after)
 	c.outcome(slug, status, cause)
@@ -81,9 +81,9 @@
 	fields := log.Fields{
 		"id": c.ask.ID, "route": c.route.Name, "team": c.teamName(), "revision": int64(c.config),
 		"outcome": outcome, "status": status, "ms": took.Milliseconds(), "first_ms": c.firstEventAfter.Milliseconds(),
-		"server": c.last.server.ID, "predicted_ms": c.last.first.Milliseconds(),
-		"writing": c.last.load.Writing, "reading": c.last.load.Reading, "attempts": c.sends + c.refusalCount, "waited_ms": c.waited.Milliseconds(),
-		"goal_ms": c.route.Goal.Milliseconds(), "report_ms": c.last.reportAge.Milliseconds(),
+		"server": c.lastChoice.server.ID, "predicted_ms": c.lastChoice.first.Milliseconds(),
+		"writing": c.lastChoice.load.Writing, "reading": c.lastChoice.load.Reading, "attempts": c.sends + c.refusalCount, "waited_ms": c.sinceFirst.Milliseconds(),
+		"goal_ms": c.route.Goal.Milliseconds(), "report_ms": c.lastChoice.reportAge.Milliseconds(),
 	}
 	if cause != nil {
 		fields["cause"] = cause.Error()
--- a/forward/overdue_test.go
+++ b/forward/overdue_test.go
@@ -26,22 +26,22 @@
 			cancelled.Store(&now)
 			return false
 		}
-		return streaming("a", 6, finish)(conn, n, r)
+		return streamEvents("a", 6, writeLastChunk)(conn, n, r)
 	}
-	both := firstThen(waiting, streaming("b", 6, finish))
-	one, two := newFake(t, both), newFake(t, both)
-	w := newEngineWorld(t, one.address, two.address)
-	w.heard(0, link.Report{Filled: true})
-	w.heard(1, link.Report{Filled: true})
+	both := firstThen(waiting, streamEvents("b", 6, writeLastChunk))
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newModelTestEnv(t, one.address, two.address)
+	w.applyReport(0, link.Report{Filled: true})
+	w.applyReport(1, link.Report{Filled: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
 	deadline := time.Now().Add(untilDeadline)
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -untilDeadline)
+	w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
-		w.entry.upstreams.heard(link.Report{Server: serverName(other), Model: engineModel, Version: 2}, time.Now())
+		w.entry.upstreams.applyReport(link.Report{Server: serverName(other), Model: testModel, Version: 2}, time.Now())
 	})
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-	if got.err != nil || got.body != all(6) || got.header.Get("Seal") != "b" {
+	if got.err != nil || got.body != allEvents(6) || got.header.Get("Seal") != "b" {
 		t.Errorf("status %d, seal %q, body %q, error %v", got.status, got.header.Get("Seal"), got.body, got.err)
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -58,7 +58,7 @@
 func TestRequestTakenAwayWaitsForAPlace(t *testing.T) {
 	t.Parallel()
 	var arrivals atomic.Int64
-	refuses := saying("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
+	refuses := respondWith("HTTP/1.1 503 Full\nNot-Run: 1\nContent-Length: 0\n\n")
 	answer := func(conn net.Conn, n int, r *http.Request) bool {
 		switch arrivals.Add(1) {
 		case 1:
@@ -68,21 +68,21 @@
 		case 2:
 			return refuses(conn, n, r)
 		default:
-			return streaming("b", 6, finish)(conn, n, r)
+			return streamEvents("b", 6, writeLastChunk)(conn, n, r)
 		}
 	}
-	one, two := newFake(t, answer), newFake(t, answer)
-	w := newEngineWorld(t, one.address, two.address)
-	w.heard(0, link.Report{Filled: true})
-	w.heard(1, link.Report{Filled: true})
+	one, two := newFakeServer(t, answer), newFakeServer(t, answer)
+	w := newModelTestEnv(t, one.address, two.address)
+	w.applyReport(0, link.Report{Filled: true})
+	w.applyReport(1, link.Report{Filled: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: engineModel, Version: 2}, -untilDeadline)
+	w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
-		w.entry.upstreams.heard(link.Report{Server: serverName(other), Model: engineModel, Version: 2}, time.Now())
+		w.entry.upstreams.applyReport(link.Report{Server: serverName(other), Model: testModel, Version: 2}, time.Now())
 	})
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
-	if got.err != nil || got.body != all(6) || arrivals.Load() != 3 {
+	if got.err != nil || got.body != allEvents(6) || arrivals.Load() != 3 {
 		t.Errorf("status %d, body %q, error %v, %d arrivals", got.status, got.body, got.err, arrivals.Load())
 	}
 }
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -188,13 +188,15 @@
 }
 
 // announceRefusal lets the entries of the site recognise the request when its caller retries.
-func (c *call) noteRefused() {
+func (c *call) announceRefusal() {
 	if c.tracked() {
-		c.entry.peers.add(admission.Refusal{Print: c.retryHash(), First: c.started.Add(-c.waited), Ends: c.callerDeadline()}, clock.Now())
+		c.entry.peers.add(admission.Refusal{Print: c.retryHash(), First: c.started.Add(-c.sinceFirst), Ends: c.callerDeadline()}, clock.Now())
 	}
 }
 
 // tracked reports whether retries of the request are told apart from first tries.
-func (c *call) tracked() bool { return c.service != nil && c.service.Engine != nil && c.ask.Wait > 0 }
+func (c *call) tracked() bool {
+	return c.service != nil && c.service.Engine != nil && c.ask.Timeout > 0
+}
 
-func (c *call) callerDeadline() time.Time { return c.started.Add(c.ask.Wait) }
+func (c *call) callerDeadline() time.Time { return c.started.Add(c.ask.Timeout) }
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -28,7 +28,7 @@
 	defer up.mu.Unlock()
 	s.servers++
 	s.own += up.inFlight
-	if now.Sub(up.reportAt) < reportLife {
+	if now.Sub(up.reportAt) < reportTTL {
 		s.others += up.othersWriting + up.othersReading
 	}
 }
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -24,7 +24,7 @@
 		return
 	}
 	signal, e := a.reply.Pushback, a.call.entry
-	if !a.choice.up.applyPushback(signal, a.ticket.sent, clock.Now(), e.sharers()) {
+	if !a.choice.upstream.applyPushback(signal, a.ticket.sent, clock.Now(), e.limitSharers()) {
 		return
 	}
 	pushbacks.Inc()
@@ -37,11 +37,11 @@
 func (u *upstream) applyPushback(signal pushback.Word, sent, now time.Time, entries int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	changed := signal != u.asked
-	u.asked = signal
-	u.saysLeaving = u.saysLeaving || signal.Leaving
-	if until := now.Add(signal.Rest); signal.Rest > 0 && until.After(u.rests) {
-		u.rests = until
+	changed := signal != u.lastPushback
+	u.lastPushback = signal
+	u.announcedLeave = u.announcedLeave || signal.Leaving
+	if until := now.Add(signal.Rest); signal.Rest > 0 && until.After(u.pausedUntil) {
+		u.pausedUntil = until
 	}
 	u.applyLimit(signal, sent, now, entries)
 	return changed
@@ -49,12 +49,12 @@
 
 // isLeaving reports whether the server takes no more requests, by its list entry or by a response. A response counts
 // for the whole incarnation: list entries may be late or come from an old copy. mu is held.
-func (u *upstream) isLeaving() bool { return u.server.Leaving || u.saysLeaving }
+func (u *upstream) isLeaving() bool { return u.server.Leaving || u.announcedLeave }
 
 // applyReportedPushback applies the pushback in a report of the server's box. A report without a limit lifts only a
 // limit that a report has set, as boxes need not know of limits in responses. mu is held.
-func (u *upstream) asksByBox(report link.Report, entries int, now time.Time) {
-	u.saysLeaving = u.saysLeaving || report.Leaving
+func (u *upstream) applyReportedPushback(report link.Report, entries int, now time.Time) {
+	u.announcedLeave = u.announcedLeave || report.Leaving
 	if report.Limited || u.report.Limited {
 		signal := pushback.Word{Limited: report.Limited, Limit: report.Limit}
 		u.applyLimit(signal, now, now, entries)
@@ -63,26 +63,26 @@
 
 // applyLimit sets or lifts the limit, by the response to a request sent at that time. mu is held.
 func (u *upstream) applyLimit(signal pushback.Word, sent, now time.Time, entries int) {
-	u.limit = u.limit.With(signal, pushback.Hearing{Sent: sent, At: now, Share: u.share(entries), Phase: rand.Float64()})
+	u.limit = u.limit.With(signal, pushback.Hearing{Sent: sent, At: now, Share: u.limitShare(entries), Phase: rand.Float64()})
 }
 
 // availableIn returns the time until the server accepts another request of this entry; 0 for now. Servers that ask
 // for rest are skipped even when most do: idle as they are, they would look cheapest, and each refusal draws on the
 // retry budget. mu is held.
-func (u *upstream) opensIn(entries int, now time.Time) time.Duration {
-	return max(u.limit.Wait(now, u.share(entries)), u.rests.Sub(now), 0)
+func (u *upstream) availableIn(entries int, now time.Time) time.Duration {
+	return max(u.limit.Wait(now, u.limitShare(entries)), u.pausedUntil.Sub(now), 0)
 }
 
 // limitShare returns this entry's fraction of the server's limit; 0 outside its subset, so that other entries can use
 // all of it. mu is held.
-func (u *upstream) share(entries int) float64 {
+func (u *upstream) limitShare(entries int) float64 {
 	return min(u.weight/float64(max(entries, 1)), 1)
 }
 
 // limitSharers returns the number of entries that share a server's limit. During start-up, when entries don't
 // know all others yet, it is at least the default.
-func (e *Entry) sharers() int {
-	if clock.Since(e.began) < countTime {
+func (e *Entry) limitSharers() int {
+	if clock.Since(e.startedAt) < entryCountDelay {
 		return max(e.budget.Entries(), retry.UnknownEntries)
 	}
 	return e.budget.Entries()
@@ -91,11 +91,11 @@
 // availableIn returns the time until some server of a service, other than those in not, accepts a request of this
 // entry; 0 if unknown.
 func (e *Entry) availableIn(service string, not map[string]bool, now time.Time) time.Duration {
-	soonest, entries := time.Duration(-1), e.sharers()
-	for _, ups := range [][]*upstream{e.upstreams.of(service), e.upstreams.besides(service)} {
+	soonest, entries := time.Duration(-1), e.limitSharers()
+	for _, ups := range [][]*upstream{e.upstreams.preferred(service), e.upstreams.fallback(service)} {
 		for _, up := range ups {
 			up.mu.Lock()
-			in, out := up.opensIn(entries, now), up.isLeaving() || not[up.server.ID]
+			in, out := up.availableIn(entries, now), up.isLeaving() || not[up.server.ID]
 			up.mu.Unlock()
 			if !out && (soonest < 0 || in < soonest) {
 				soonest = in
--- a/forward/pushback_test.go
+++ b/forward/pushback_test.go
@@ -15,20 +15,20 @@
 )
 
 // respondWithHeader responds to request r1 with an additional header.
-func respondWithHeader(header string) answering {
-	return saying("HTTP/1.1 200 OK\nId: r1\nSeal: s\n" + header + "\nContent-Length: 5\n\nhello")
+func respondWithHeader(header string) responder {
+	return respondWith("HTTP/1.1 200 OK\nId: r1\nSeal: s\n" + header + "\nContent-Length: 5\n\nhello")
 }
 
 // refuseWithHeader refuses a request without running it, with an additional header.
-func refuseWithHeader(header string) answering {
-	return saying("HTTP/1.1 503 Service Unavailable\nId: r1\nNot-Run: 1\n" + header + "\nContent-Length: 0\n\n")
+func refuseWithHeader(header string) responder {
+	return respondWith("HTTP/1.1 503 Service Unavailable\nId: r1\nNot-Run: 1\n" + header + "\nContent-Length: 0\n\n")
 }
 
 // asSoleEntry makes the entry act as the only one, past its start-up phase.
-func (w *world) asSoleEntry() { w.entry.began = time.Now().Add(-time.Hour) }
+func (w *testEnv) asSoleEntry() { w.entry.startedAt = time.Now().Add(-time.Hour) }
 
 // askConcurrently sends n requests at once and counts the responses by status.
-func (w *world) askConcurrently(n int, path string) map[int]int {
+func (w *testEnv) askConcurrently(n int, path string) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[int]int)
@@ -58,8 +58,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			limited, free := newFake(t, respondWithHeader("Server-Limit: "+test.limit)), newFake(t, good)
-			w := newWorld(t, false, limited.address, free.address)
+			limited, free := newFakeServer(t, respondWithHeader("Server-Limit: "+test.limit)), newFakeServer(t, respondOK)
+			w := newTestEnv(t, false, limited.address, free.address)
 			w.asSoleEntry()
 			for limited.arrivals() == 0 {
 				w.ask(http.MethodPost, "/safe/", "x", nil)
@@ -80,9 +80,9 @@
 }
 
 func TestALimitEndsWithTheFirstAnswerWithoutIt(t *testing.T) {
-	first := firstThen(respondWithHeader("Server-Limit: 5"), good)
-	limited, free := newFake(t, first), newFake(t, good)
-	w := newWorld(t, false, limited.address, free.address)
+	first := firstThen(respondWithHeader("Server-Limit: 5"), respondOK)
+	limited, free := newFakeServer(t, first), newFakeServer(t, respondOK)
+	w := newTestEnv(t, false, limited.address, free.address)
 	w.asSoleEntry()
 	for until := time.Now().Add(2 * time.Second); time.Now().Before(until); {
 		w.askConcurrently(8, "/safe/")
@@ -93,8 +93,8 @@
 }
 
 func TestRequestsBeyondAllLimitsAreRefusedAtOnce(t *testing.T) {
-	limited := newFake(t, respondWithHeader("Server-Limit: 0.5"))
-	w := newWorld(t, false, limited.address)
+	limited := newFakeServer(t, respondWithHeader("Server-Limit: 0.5"))
+	w := newTestEnv(t, false, limited.address)
 	w.asSoleEntry()
 	if got := w.ask(http.MethodPost, "/safe/", "x", nil); got.status != http.StatusOK {
 		t.Fatalf("the first request got %d", got.status)
@@ -115,38 +115,38 @@
 // TestAnswersOfOtherServersAskForNothing checks that pushback in a 421 response is not applied to the server that was
 // addressed.
 func TestAnswersOfOtherServersAskForNothing(t *testing.T) {
-	other := newFake(t, func(conn net.Conn, n int, r *http.Request) bool {
+	other := newFakeServer(t, func(conn net.Conn, n int, r *http.Request) bool {
 		if n == 1 {
-			return raw(conn, "HTTP/1.1 421 Misdirected Request\nId: r1\nServer-Limit: 0\nContent-Length: 0\n\n")
+			return writeRaw(conn, "HTTP/1.1 421 Misdirected Request\nId: r1\nServer-Limit: 0\nContent-Length: 0\n\n")
 		}
-		return good(conn, n, r)
+		return respondOK(conn, n, r)
 	})
-	w := newWorld(t, false, other.address)
+	w := newTestEnv(t, false, other.address)
 	w.asSoleEntry()
 	w.ask(http.MethodPost, "/safe/", "x", nil)
 	up := w.entry.upstreams.byServer(serverName(0))
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if in := up.opensIn(1, time.Now()); in > 0 {
+	if in := up.availableIn(1, time.Now()); in > 0 {
 		t.Errorf("the server is limited for %s by the response of another", in)
 	}
 }
 
 func TestServersThatSayThatTheyLeaveGetNothingMore(t *testing.T) {
-	for name, answer := range map[string]answering{
+	for name, answer := range map[string]responder{
 		"response":     respondWithHeader("Server-Leaving: 1"),
 		"refusal":      refuseWithHeader("Server-Leaving: 1"),
-		"server error": saying("HTTP/1.1 500 Internal Server Error\nId: r1\nServer-Leaving: 1\nContent-Length: 0\n\n"),
+		"server error": respondWith("HTTP/1.1 500 Internal Server Error\nId: r1\nServer-Leaving: 1\nContent-Length: 0\n\n"),
 		"truncated response": func(conn net.Conn, _ int, _ *http.Request) bool {
-			raw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\nServer-Leaving: 1\nContent-Length: 5\n\nhe")
+			writeRaw(conn, "HTTP/1.1 200 OK\nId: r1\nSeal: s\nServer-Leaving: 1\nContent-Length: 5\n\nhe")
 			return false
 		},
-		"first response only": firstThen(respondWithHeader("Server-Leaving: 1"), good),
+		"first response only": firstThen(respondWithHeader("Server-Leaving: 1"), respondOK),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			leaving, stays := newFake(t, answer), newFake(t, good)
-			w := newWorld(t, false, leaving.address, stays.address)
+			leaving, stays := newFakeServer(t, answer), newFakeServer(t, respondOK)
+			w := newTestEnv(t, false, leaving.address, stays.address)
 			for leaving.arrivals() == 0 {
 				w.ask(http.MethodPost, "/safe/", "x", nil)
 			}
@@ -164,8 +164,8 @@
 }
 
 func TestTheHeadOfAStreamSaysThatItsServerLeaves(t *testing.T) {
-	leaving := newFake(t, saying("HTTP/1.1 200 OK\nId: r1\nSeal: s\nServer-Leaving: 1\nContent-Type: text/event-stream\nConnection: close\n\nid: 1\ndata: a\n\n"))
-	w := newEngineWorld(t, leaving.address)
+	leaving := newFakeServer(t, respondWith("HTTP/1.1 200 OK\nId: r1\nSeal: s\nServer-Leaving: 1\nContent-Type: text/event-stream\nConnection: close\n\nid: 1\ndata: a\n\n"))
+	w := newModelTestEnv(t, leaving.address)
 	if got := w.ask(http.MethodPost, "/stream/", "x", nil); got.status != http.StatusOK {
 		t.Fatalf("the stream got %d", got.status)
 	}
@@ -185,11 +185,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			up := &upstream{}
-			up.listed(view.Listed{Server: contract.Server{ID: id}}, 1)
+			up.applyListing(view.Listed{Server: contract.Server{ID: id}}, 1)
 			up.applyPushback(pushback.Word{Leaving: true}, time.Now(), time.Now(), 1)
 			up.applyPushback(pushback.Word{}, time.Now(), time.Now(), 1)
 			for _, leaving := range rows {
-				up.listed(view.Listed{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
+				up.applyListing(view.Listed{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
 			}
 			if !up.isLeaving() {
 				t.Error("the server counts as staying")
@@ -238,18 +238,18 @@
 		"response limit not in reports": {reports: []link.Report{none, none}, answer: &pushback.Word{Limited: true, Limit: 0.01}, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newEngineWorld(t, "127.0.0.1:1")
+			w := newModelTestEnv(t, "127.0.0.1:1")
 			up := w.entry.upstreams.byServer(serverName(0))
 			if test.answer != nil {
 				up.applyPushback(*test.answer, time.Now(), time.Now(), 1)
 			}
 			for _, report := range test.reports {
-				w.heard(0, report)
+				w.applyReport(0, report)
 			}
 			up.mu.Lock()
 			defer up.mu.Unlock()
 			up.limit = up.limit.WithSent(time.Now(), 1)
-			if available := up.opensIn(1, time.Now()); available > 0 != test.limited || up.isLeaving() != test.leaves {
+			if available := up.availableIn(1, time.Now()); available > 0 != test.limited || up.isLeaving() != test.leaves {
 				t.Errorf("available in %s, leaving %t; want limited %t, leaving %t", available, up.isLeaving(), test.limited, test.leaves)
 			}
 		})
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -108,7 +108,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	env.t.Cleanup(cancel)
-	e := New(Config{Machine: m, View: v, Wire: testWire{}, Log: logger, Links: links, Told: source})
+	e := New(Config{Machine: m, View: v, Wire: testWire{}, Log: logger, Links: links, PeerSource: source})
 	parts := []func(context.Context) error{v.ServeDeclared, v.ServeServers, e.followServers, e.boxLinks.serve, e.reader.serveLinks, e.reader.serve}
 	for _, part := range parts {
 		go func() { _ = part(ctx) }()
@@ -133,7 +133,7 @@
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		all := true
 		for i, e := range env.entries {
-			all = all && (i == reader || e.cfg.Told.Tells())
+			all = all && (i == reader || e.cfg.PeerSource.Tells())
 		}
 		if all {
 			return
--- a/forward/request.go
+++ b/forward/request.go
@@ -19,9 +19,9 @@
 }
 
 // request builds the request to the server: the caller's own, plus the fields in extra.
-func (a *attempt) request(extra Send) *http.Request {
+func (a *attempt) request(extra AttemptInfo) *http.Request {
 	c := a.call
-	extra.Left = clock.Until(c.ends) - responseMargin
+	extra.TimeLeft = clock.Until(c.deadline) - responseMargin
 	extra.Server = a.choice.server.ID
 	extra.Team = c.teamName()
 	extra.Priority = a.priority
@@ -30,7 +30,7 @@
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = []string{""}
 	}
-	c.entry.cfg.Wire.Outgoing(header, extra)
+	c.entry.cfg.Wire.SetRequestHeaders(header, extra)
 	req := &http.Request{
 		Method: c.r.Method, URL: target(c.r, a.choice.server.Address), Host: c.r.Host, Header: header,
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -43,8 +43,8 @@
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	if c, ok := info.Conn.(*conn); ok {
 		a.conn = c
-		a.writtenBefore = c.begin()
-		a.ticket.connectedAt(c.opened)
+		a.writtenBefore = c.beginRequest()
+		a.ticket.setConnectedAt(c.opened)
 	}
 }
 
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -10,6 +10,6 @@
 // still.
 func (e *Entry) Resumed() {
 	for _, c := range e.calls.list() {
-		time.AfterFunc(clock.Until(c.ends), c.cancel)
+		time.AfterFunc(clock.Until(c.deadline), c.cancel)
 	}
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -17,8 +17,8 @@
 		"no suspension":       {0, 2100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newFake(t, func(net.Conn, int, *http.Request) bool { time.Sleep(4 * time.Second); return false })
-			w := newWorld(t, false, server.address)
+			server := newFakeServer(t, func(net.Conn, int, *http.Request) bool { time.Sleep(4 * time.Second); return false })
+			w := newTestEnv(t, false, server.address)
 			time.AfterFunc(200*time.Millisecond, func() {
 				clock.Skip(test.suspended)
 				t.Cleanup(func() { clock.Skip(-test.suspended) })
@@ -42,15 +42,15 @@
 		t.Cleanup(func() { clock.Skip(-time.Second) })
 		return reset(conn)
 	}
-	both := firstThen(lost, good)
-	one, two := newFake(t, both), newFake(t, both)
-	w := newWorld(t, false, one.address, two.address)
+	both := firstThen(lost, respondOK)
+	one, two := newFakeServer(t, both), newFakeServer(t, both)
+	w := newTestEnv(t, false, one.address, two.address)
 	if got := w.ask(http.MethodPost, "/safe/a", "x", map[string]string{"Wait": "2500"}); got.status != http.StatusOK {
 		t.Fatalf("status %d", got.status)
 	}
 	var waits []string
-	for _, server := range []*fake{one, two} {
-		for _, r := range server.got {
+	for _, server := range []*fakeServer{one, two} {
+		for _, r := range server.requests {
 			waits = append(waits, r.Header.Get("Wait"))
 		}
 	}
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -12,10 +12,10 @@
 const (
 	// Retry-After is at least minRetryAfter plus up to retryAfterSpread at random; loadingRetryAfter is added where
 	// no server takes requests, plainRetryAfter applies without a prediction.
-	minRetryAfter    = 400 * time.Millisecond
-	retryAfterSpread = 900 * time.Millisecond
-	loadRetryAfter   = 600 * time.Millisecond
-	plainRetryAfter  = 300 * time.Millisecond
+	minRetryAfter     = 400 * time.Millisecond
+	retryAfterSpread  = 900 * time.Millisecond
+	loadingRetryAfter = 600 * time.Millisecond
+	plainRetryAfter   = 300 * time.Millisecond
 	// Callers are asked back once 1/readyDivisor of a service's servers are ready.
 	readyDivisor = 4
 )
@@ -23,11 +23,11 @@
 // shortestWait returns the shortest predicted wait at a service's servers, including the wait for their limits; ok is
 // false when none takes requests.
 func (e *Entry) shortestWait(service *contract.Service, now time.Time) (wait time.Duration, ok bool) {
-	entries := e.sharers()
-	for _, up := range e.upstreams.of(service.Name) {
+	entries := e.limitSharers()
+	for _, up := range e.upstreams.preferred(service.Name) {
 		up.mu.Lock()
 		if up.version("", now) != 0 && !up.isLeaving() && !up.closing(now) {
-			total := up.opensIn(entries, now) + engine.First(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
+			total := up.availableIn(entries, now) + engine.First(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
 			if !ok || total < wait {
 				wait, ok = total, true
 			}
@@ -47,7 +47,7 @@
 	if wait, ok := e.shortestWait(service, now); ok {
 		after = max(wait-route.Goal, 0)
 	} else if !known {
-		after = loadRetryAfter
+		after = loadingRetryAfter
 	}
 	return after + minRetryAfter + rand.N(retryAfterSpread)
 }
@@ -64,9 +64,9 @@
 // boxes' reports; known is false without any.
 func (e *Entry) readyIn(service string, now time.Time) (in time.Duration, known bool) {
 	var times []time.Duration
-	for _, up := range e.upstreams.of(service) {
+	for _, up := range e.upstreams.preferred(service) {
 		up.mu.Lock()
-		if age := now.Sub(up.reportAt); age < reportLife && up.report.Ready > 0 {
+		if age := now.Sub(up.reportAt); age < reportTTL && up.report.Ready > 0 {
 			times = append(times, max(up.report.Ready-age, 0))
 		}
 		up.mu.Unlock()
--- a/forward/rtt.go
+++ b/forward/rtt.go
@@ -21,7 +21,7 @@
 )
 
 // rttWindow holds the latest round-trip times of the link to a server's box.
-type way struct {
+type rttWindow struct {
 	samples   [rttSamples]time.Duration
 	count     int
 	sampledAt time.Time
@@ -30,7 +30,7 @@
 }
 
 // isLow reports whether all recent round trips were short and no probe is overdue.
-func (w way) quick(now time.Time) bool {
+func (w rttWindow) isLow(now time.Time) bool {
 	if w.count == 0 || now.Sub(w.sampledAt) > rttTTL || !w.probeSentAt.IsZero() && now.Sub(w.probeSentAt) > maxLowRTT {
 		return false
 	}
@@ -38,7 +38,7 @@
 }
 
 // delay returns the current delay of the link, 0 while it is uncongested or not measured.
-func (w way) held(now time.Time) time.Duration {
+func (w rttWindow) delay(now time.Time) time.Duration {
 	var delay time.Duration
 	if w.count > 0 && now.Sub(w.sampledAt) < rttTTL {
 		delay = w.samples[(w.count-1)%rttSamples]
@@ -52,7 +52,7 @@
 	return delay
 }
 
-func (w way) withSample(sample time.Duration, at time.Time) way {
+func (w rttWindow) withSample(sample time.Duration, at time.Time) rttWindow {
 	w.samples[w.count%rttSamples] = sample
 	w.count++
 	w.sampledAt, w.probeSentAt = at, time.Time{}
@@ -104,21 +104,21 @@
 
 func (bl *boxLinks) measureRTT(ctx context.Context, l *boxLink, up *upstream) {
 	sent := clock.Now()
-	up.updateRTT(func(w *way) { w.probeSentAt = sent })
+	up.updateRTT(func(w *rttWindow) { w.probeSentAt = sent })
 	ctx, cancel := context.WithTimeout(ctx, rttTimeout)
 	defer cancel()
 	rtt, err := l.conn.RoundTrip(ctx)
 	if err != nil {
 		rtt = clock.Since(sent)
 	}
-	up.updateRTT(func(w *way) { *w = w.withSample(rtt, clock.Now()) })
+	up.updateRTT(func(w *rttWindow) { *w = w.withSample(rtt, clock.Now()) })
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	l.measuring = false
 }
 
-func (u *upstream) updateRTT(change func(w *way)) {
+func (u *upstream) updateRTT(change func(w *rttWindow)) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	change(&u.way)
+	change(&u.rtt)
 }
--- a/forward/serverexit.go
+++ b/forward/serverexit.go
@@ -22,7 +22,7 @@
 	// might crash too.
 	exitCheckTimeout = 100 * time.Millisecond
 	// exitLogDelay is how long the requests lost by an exit are collected for its log line.
-	endGather = 20 * time.Millisecond
+	exitLogDelay = 20 * time.Millisecond
 	// exitTTL is how long a detected exit explains further broken connections of the server.
 	exitTTL = time.Second
 	// lostRequestTTL is how long a lost request is kept in case its server turns out to have exited.
@@ -37,14 +37,14 @@
 
 // connectionLost reports whether the connection broke or the server restarted, rather than the entry cancelling the
 // attempt.
-func (a *attempt) brokenOff(result step, err error) bool {
-	return result == stepLost && (a.ctx.Err() == nil || errors.As(err, new(*RestartedError)))
+func (a *attempt) connectionLost(result attemptResult, err error) bool {
+	return result == resultLost && (a.ctx.Err() == nil || errors.As(err, new(*RestartedError)))
 }
 
 // awaitExitCheck records a lost request and waits until it is known whether its server has exited, for exitCheckTimeout
 // at most.
-func (e *Entry) noteBroken(a *attempt, err error) {
-	up, request, now := a.choice.up, a.call.fingerprint(), clock.Now()
+func (e *Entry) awaitExitCheck(a *attempt, err error) {
+	up, request, now := a.choice.upstream, a.call.fingerprint(), clock.Now()
 	up.mu.Lock()
 	up.lostRequests = append(up.lostRequests, lostRequest{request: request, at: now})
 	if errors.As(err, new(*RestartedError)) {
@@ -68,14 +68,14 @@
 	ended := known || probe.Refuses(up.address())
 	incarnation, requests := up.takeLostRequests(ended, clock.Now())
 	if ended && !known {
-		up.unreachable(clock.Now())
+		up.recordUnreachable(clock.Now())
 	}
 	if len(requests) > 0 {
 		e.cfg.Quarantine.Ended(incarnation, requests)
 	}
 	close(checked)
 	if len(requests) > 0 && up.queueExitLog(requests) {
-		time.Sleep(endGather)
+		time.Sleep(exitLogDelay)
 		e.logExit(incarnation, up.takeExitLog())
 	}
 }
--- a/forward/serverexit_test.go
+++ b/forward/serverexit_test.go
@@ -16,15 +16,15 @@
 	for name, exits := range map[string]bool{"server exits": true, "connection breaks": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var server *fake
-			server = newFake(t, func(conn net.Conn, _ int, _ *http.Request) bool {
+			var server *fakeServer
+			server = newFakeServer(t, func(conn net.Conn, _ int, _ *http.Request) bool {
 				if exits {
 					server.end()
 				}
 				return reset(conn)
 			})
-			w := newWorld(t, false, server.address)
-			logs := &lines{}
+			w := newTestEnv(t, false, server.address)
+			logs := &logRecorder{}
 			w.entry.log = &log.Logger{Handler: logs, Level: log.InfoLevel}
 			got := w.ask(http.MethodPost, "/once/a", "x", nil)
 			if got.status != http.StatusBadGateway {
--- a/forward/size_test.go
+++ b/forward/size_test.go
@@ -22,14 +22,14 @@
 		}
 		servers[i] = view.Listed{Server: contract.Server{
 			ID: serverName(i), Service: service, Address: fmt.Sprintf("10.%d.%d.%d:8000", i/65536, i/256%256, i%256), Site: "z",
-			Slots: 8, Loaded: map[string]contract.Version{engineModel: 1},
+			Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
 		}}
 	}
 	cfg := contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{{Name: "s", Engine: &contract.Engine{}}, {Name: "plain"}}, nil)
 	v := view.New(fixedSource{declared: view.Declared{Config: cfg}}, view.Options{})
 	e := New(Config{View: v})
 	e.budget.SetEntries(60)
-	e.began = time.Now().Add(-time.Hour)
+	e.startedAt = time.Now().Add(-time.Hour)
 	return e, servers
 }
 
--- a/forward/staleconfig_test.go
+++ b/forward/staleconfig_test.go
@@ -9,8 +9,8 @@
 // TestDenialsInDoubt checks that a configuration that may be outdated denies no request.
 func TestDenialsInDoubt(t *testing.T) {
 	t.Parallel()
-	server := newFake(t, good)
-	w := newWorld(t, true, server.address)
+	server := newFakeServer(t, respondOK)
+	w := newTestEnv(t, true, server.address)
 	asks := map[string]struct {
 		path, key string
 		status    int
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -58,7 +58,7 @@
 	c.mu.Unlock()
 	err := s.relay(a)
 	for err != nil {
-		c.recordResult(a, stepLost, err)
+		c.recordResult(a, resultLost, err)
 		a.close()
 		next, nextErr := s.nextAttempt(ctx, a)
 		if nextErr != nil {
@@ -68,7 +68,7 @@
 		a = next
 		err = s.relay(a)
 	}
-	c.recordResult(a, stepDone, nil)
+	c.recordResult(a, resultDone, nil)
 	a.close()
 	c.outcome("answered", http.StatusOK, nil)
 }
@@ -138,7 +138,7 @@
 	}
 	c.urgent = true
 	c.readmit(clock.Now())
-	want := c.wanted()
+	want := c.requirements()
 	want.version = s.version
 	ch, ok := c.entry.choose(want, clock.Now())
 	if !ok {
--- a/forward/subset.go
+++ b/forward/subset.go
@@ -15,11 +15,11 @@
 
 // entryCountDelay is how long after its start an entry ignores the reported number of entries: while all entries start,
 // the number is too low and each would link to all boxes.
-const countTime = 5 * time.Second
+const entryCountDelay = 5 * time.Second
 
 // knownEntryCount returns the number of entries, 0 while it is unknown.
 func (e *Entry) knownEntryCount() int {
-	if clock.Since(e.began) < countTime {
+	if clock.Since(e.startedAt) < entryCountDelay {
 		return 0
 	}
 	return e.budget.Entries()
--- a/forward/subset_test.go
+++ b/forward/subset_test.go
@@ -11,15 +11,15 @@
 )
 
 // newSubsetEnv returns an entry and a list of servers spread over sites, each at a box of its own.
-func newSubsetEnv(t *testing.T, servers, sites int) (*world, []view.Listed) {
+func newSubsetEnv(t *testing.T, servers, sites int) (*testEnv, []view.Listed) {
 	t.Helper()
-	w := newEngineWorld(t, "10.0.0.1:1")
+	w := newModelTestEnv(t, "10.0.0.1:1")
 	w.entry.cfg.Machine.Site = "site0"
 	var listed []view.Listed
 	for i := range servers {
 		listed = append(listed, view.Listed{Server: contract.Server{
 			ID: serverName(i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1), Site: fmt.Sprint("site", i%sites), Slots: 8,
-			Loaded: map[string]contract.Version{engineModel: 1},
+			Loaded: map[string]contract.Version{testModel: 1},
 		}})
 	}
 	w.entry.upstreams.update(listed)
@@ -39,13 +39,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w, listed := newSubsetEnv(t, test.servers, test.sites)
-			if n := len(w.entry.upstreams.of("s")); n != test.size {
+			if n := len(w.entry.upstreams.preferred("s")); n != test.size {
 				t.Errorf("subset of %d servers before other entries are known, want %d", n, test.size)
 			}
-			w.entry.began = w.entry.began.Add(-countTime)
+			w.entry.startedAt = w.entry.startedAt.Add(-entryCountDelay)
 			w.entry.budget.SetEntries(test.servers)
 			w.entry.upstreams.update(listed)
-			preferred := w.entry.upstreams.of("s")
+			preferred := w.entry.upstreams.preferred("s")
 			if len(preferred) != test.size {
 				t.Fatalf("subset of %d servers, want %d", len(preferred), test.size)
 			}
@@ -55,12 +55,12 @@
 			}
 			want := shortRequest(w)
 			ch, ok := w.entry.choose(want, time.Now())
-			if !ok || ch.among != test.size {
-				t.Errorf("server chosen: %t, among %d servers, want %d", ok, ch.among, test.size)
+			if !ok || ch.candidates != test.size {
+				t.Errorf("server chosen: %t, among %d servers, want %d", ok, ch.candidates, test.size)
 			}
-			want.not = make(map[string]bool)
+			want.excluded = make(map[string]bool)
 			for _, up := range preferred {
-				want.not[up.server.ID] = true
+				want.excluded[up.server.ID] = true
 			}
 			ch, ok = w.entry.choose(want, time.Now())
 			if others := test.servers > test.size; ok != others || others && w.entry.upstreams.weight(ch.server.ID) != 0 {
@@ -71,8 +71,8 @@
 }
 
 // shortRequest returns the requirements of a short request.
-func shortRequest(w *world) wanted {
-	return wanted{service: w.entry.cfg.View.Config().Service("s"), model: engineModel, prompt: 100, answer: 50}
+func shortRequest(w *testEnv) requirements {
+	return requirements{service: w.entry.cfg.View.Config().Service("s"), model: testModel, promptTokens: 100, answerTokens: 50}
 }
 
 // TestLinksToLeavingServersStayOpen checks that an entry keeps its links to leaving servers, and to servers outside its subset while
@@ -80,13 +80,13 @@
 func TestLinksToLeavingServersStayOpen(t *testing.T) {
 	w, listed := newSubsetEnv(t, 204, 5)
 	cfg := w.entry.cfg.View.Config()
-	leaving, busy := w.entry.upstreams.of("s")[0].server.ID, w.entry.upstreams.besides("s")[0]
+	leaving, busy := w.entry.upstreams.preferred("s")[0].server.ID, w.entry.upstreams.fallback("s")[0]
 	for i := range listed {
 		if listed[i].ID == leaving {
 			listed[i].Leaving = true
 		}
 	}
-	busy.take(100, 0, 1, time.Now())
+	busy.tryAcquire(100, 0, 1, time.Now())
 	w.entry.upstreams.update(listed)
 	wanted, inProgress := w.entry.boxLinks.wantedLinks(cfg)
 	if len(wanted) != 41 {
@@ -116,7 +116,7 @@
 		"boxes that report no weights": {[]link.Report{{Entries: 5}, {Entries: 4}}, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newEngineWorld(t, "10.0.0.1:1")
+			w := newModelTestEnv(t, "10.0.0.1:1")
 			for i, report := range test.reports {
 				w.entry.boxLinks.updateEntryCount(fmt.Sprint("box", i), &report)
 			}
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -16,7 +16,7 @@
 
 const (
 	// reportTTL is how long a report is taken as the current state of a server.
-	reportLife = 1500 * time.Millisecond
+	reportTTL = 1500 * time.Millisecond
 	// usualReportAge is the usual upper bound on the age of a server's latest report.
 	usualReportAge = 600 * time.Millisecond
 	// lagWeight is the weight of a new sample in the moving average of the lag, lagHalfLife the half-life of the
@@ -27,7 +27,7 @@
 	// A server whose oldest first event is overdue by more than overdueTolerance is stalled; the excess is added to its
 	// cost overdueFactor times.
 	overdueTolerance = 200 * time.Millisecond
-	stuckFactor      = 4
+	overdueFactor    = 4
 	// minEjection and maxEjection bound the length of an ejection, which doubles with each further failure.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
@@ -47,8 +47,8 @@
 	weight float64
 	// missing is set while the server is not listed, possibly by a lapse of the list; it gets no requests after
 	// unusableAt.
-	missing bool
-	goneAt  time.Time
+	missing    bool
+	unusableAt time.Time
 
 	// inFlight counts this entry's requests at the server, reading those without a first event, and unread the prompt
 	// tokens of the latter.
@@ -56,15 +56,15 @@
 	reading  int
 	unread   int
 	// All requests in flight, and those without a first event with the oldest first.
-	tickets map[*ticket]bool
-	pending []*ticket
+	inFlightRequests map[*inFlightRequest]bool
+	pending          []*inFlightRequest
 	// lag is the decaying average delay of first events beyond their prediction, as of lagAt.
 	lag   time.Duration
 	lagAt time.Time
 
 	report   link.Report
 	reportAt time.Time
-	way      way
+	rtt      rttWindow
 	// othersWriting and othersReading count the decoding and prefilling requests of other entries in the latest report.
 	othersWriting int
 	othersReading int
@@ -74,14 +74,14 @@
 	ejection     time.Duration
 	ejectedUntil time.Time
 	// misdirectedAt is when the server last answered 421; zero once the list or its box reports a change.
-	denied time.Time
+	misdirectedAt time.Time
 
 	// lastPushback is the server's latest pushback signal, limit the limit set by such signals. announcedLeave is set
 	// once a response or report announces a leave; nothing is sent before pausedUntil.
-	asked       pushback.Word
-	limit       pushback.Limit
-	saysLeaving bool
-	rests       time.Time
+	lastPushback   pushback.Word
+	limit          pushback.Limit
+	announcedLeave bool
+	pausedUntil    time.Time
 
 	// lostRequests are the requests whose connections broke recently; exitChecked is closed when the running exit check
 	// ends, nil if none runs. exitedAt is when an exit was detected, exitLogRequests the requests for its log line.
@@ -92,7 +92,7 @@
 }
 
 // inFlightRequest is one request at a server, from sending to completion.
-type ticket struct {
+type inFlightRequest struct {
 	up            *upstream
 	prompt        int
 	sent          time.Time
@@ -101,34 +101,34 @@
 	done          bool
 	// moveAway continues the request at another server while this one still works on it, nil if not allowed; abort
 	// cancels it here.
-	move  func()
-	abort func(cause error)
+	moveAway func()
+	abort    func(cause error)
 	// connected is when the connection of the request was opened; zero before the request has one.
 	connected time.Time
 }
 
 // tryAcquire counts a request about to be sent, with the predicted time to its first event. It returns nil if other
 // requests have used up the server's limit since the server was chosen.
-func (u *upstream) take(prompt int, predicted time.Duration, entries int, now time.Time) *ticket {
+func (u *upstream) tryAcquire(prompt int, predicted time.Duration, entries int, now time.Time) *inFlightRequest {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.opensIn(entries, now) > 0 {
+	if u.availableIn(entries, now) > 0 {
 		return nil
 	}
-	u.limit = u.limit.WithSent(now, u.share(entries))
+	u.limit = u.limit.WithSent(now, u.limitShare(entries))
 	u.inFlight++
 	u.reading++
 	u.unread += prompt
-	t := &ticket{up: u, prompt: prompt, sent: now, predicted: predicted}
+	t := &inFlightRequest{up: u, prompt: prompt, sent: now, predicted: predicted}
 	u.pending = append(u.pending, t)
-	if u.tickets == nil {
-		u.tickets = make(map[*ticket]bool)
+	if u.inFlightRequests == nil {
+		u.inFlightRequests = make(map[*inFlightRequest]bool)
 	}
-	u.tickets[t] = true
+	u.inFlightRequests[t] = true
 	return t
 }
 
-func (t *ticket) begun(now time.Time) {
+func (t *inFlightRequest) recordFirstEvent(now time.Time) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
 	if !t.gotFirstEvent {
@@ -138,48 +138,48 @@
 }
 
 // recordFirstEventLocked is recordFirstEvent with the server's mutex held.
-func (t *ticket) recordFirstEventLocked() {
+func (t *inFlightRequest) recordFirstEventLocked() {
 	if t.gotFirstEvent {
 		return
 	}
 	t.gotFirstEvent = true
 	t.up.reading--
 	t.up.unread -= t.prompt
-	t.up.pending = slices.DeleteFunc(t.up.pending, func(other *ticket) bool { return other == t })
+	t.up.pending = slices.DeleteFunc(t.up.pending, func(other *inFlightRequest) bool { return other == t })
 }
 
 // release ends the accounting of the request; only the first call has an effect.
-func (t *ticket) end() {
+func (t *inFlightRequest) release() {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
 	if t.done {
 		return
 	}
 	t.done = true
-	delete(t.up.tickets, t)
+	delete(t.up.inFlightRequests, t)
 	t.recordFirstEventLocked()
 	t.up.inFlight--
 }
 
 // applyReport applies a box's report; entries is the number of entries that share a limit in it. Own requests are
 // subtracted, which leaves those of other entries.
-func (u *upstream) heard(report link.Report, entries int, now time.Time) {
+func (u *upstream) applyReport(report link.Report, entries int, now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if report.Closing && !u.report.Closing {
-		time.AfterFunc(moveAfter, u.moveOn)
+		time.AfterFunc(moveDelay, u.moveRequests)
 	}
 	if report.Version != u.report.Version {
-		u.denied = time.Time{}
+		u.misdirectedAt = time.Time{}
 	}
-	u.asksByBox(report, entries, now)
+	u.applyReportedPushback(report, entries, now)
 	u.report, u.reportAt = report, now
 	u.othersReading = max(0, report.Waiting-u.reading)
 	u.othersWriting = max(0, report.Running-(u.inFlight-u.reading))
 }
 
 // applyListing applies the server's entry in the list.
-func (u *upstream) listed(server view.Listed, weight float64) {
+func (u *upstream) applyListing(server view.Listed, weight float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.weight = weight
@@ -188,9 +188,9 @@
 		server.Loaded = nil
 	}
 	if !u.server.Equal(server.Server) {
-		u.denied = time.Time{}
+		u.misdirectedAt = time.Time{}
 	}
-	u.server, u.missing, u.goneAt = server.Server, !server.Missing.IsZero(), server.Until
+	u.server, u.missing, u.unusableAt = server.Server, !server.Missing.IsZero(), server.Until
 	u.listedBorn = server.Born
 	if u.born == 0 {
 		u.born = server.Born
@@ -200,7 +200,7 @@
 // load estimates the current load of the server; mu is held.
 func (u *upstream) load(e *contract.Engine, now time.Time) engine.Load {
 	load := engine.Load{Writing: u.inFlight - u.reading, Reading: u.reading, Unread: u.unread}
-	if now.Sub(u.reportAt) < reportLife {
+	if now.Sub(u.reportAt) < reportTTL {
 		load.Writing += u.othersWriting
 		load.Reading += u.othersReading
 		load.Unread += u.othersReading * e.UsualPrompt
@@ -211,7 +211,7 @@
 
 // version returns the version of a model that the server presumably runs; mu is held.
 func (u *upstream) version(model string, now time.Time) contract.Version {
-	if now.Sub(u.reportAt) < reportLife && u.report.Server == u.server.ID && (model == "" || u.report.Model == model) {
+	if now.Sub(u.reportAt) < reportTTL && u.report.Server == u.server.ID && (model == "" || u.report.Model == model) {
 		return contract.Version(u.report.Version)
 	}
 	return u.server.Runs(model)
@@ -219,17 +219,17 @@
 
 // closing reports whether the server's box has announced that it takes no new requests; mu is held.
 func (u *upstream) closing(now time.Time) bool {
-	return u.report.Closing && now.Sub(u.reportAt) < reportLife
+	return u.report.Closing && now.Sub(u.reportAt) < reportTTL
 }
 
 // filled reports whether the server's box holds all pieces of the target version; mu is held.
 func (u *upstream) filled(now time.Time) bool {
-	return u.report.Filled && now.Sub(u.reportAt) < reportLife
+	return u.report.Filled && now.Sub(u.reportAt) < reportTTL
 }
 
 // reportDelay returns by how much reports are overdue. It is added to the server's cost, since the link may be
 // congested. mu is held.
-func (u *upstream) silence(now time.Time) time.Duration {
+func (u *upstream) reportDelay(now time.Time) time.Duration {
 	if u.reportAt.IsZero() {
 		return 0
 	}
@@ -238,13 +238,13 @@
 
 // observeLag adds the delay of one first event beyond its prediction to the lag; mu is held.
 func (u *upstream) observeLag(late time.Duration, now time.Time) {
-	faded := u.faded(now)
+	faded := u.currentLag(now)
 	u.lag = faded + time.Duration(lagWeight*float64(max(late-lagTolerance, 0)-faded))
 	u.lagAt = now
 }
 
 // currentLag returns the decayed lag; mu is held.
-func (u *upstream) faded(now time.Time) time.Duration {
+func (u *upstream) currentLag(now time.Time) time.Duration {
 	if u.lag <= 0 {
 		return 0
 	}
@@ -252,7 +252,7 @@
 }
 
 // oldestOverdue returns by how much the oldest outstanding first event is overdue; mu is held.
-func (u *upstream) stuck(now time.Time) time.Duration {
+func (u *upstream) oldestOverdue(now time.Time) time.Duration {
 	if len(u.pending) == 0 {
 		return 0
 	}
@@ -262,15 +262,15 @@
 
 // closesIn returns the time until the server takes no new requests, unknownTurn if its box has not reported it; mu is
 // held.
-func (u *upstream) closes(now time.Time) time.Duration {
-	if u.report.Closes == 0 || now.Sub(u.reportAt) > reportLife {
+func (u *upstream) closesIn(now time.Time) time.Duration {
+	if u.report.Closes == 0 || now.Sub(u.reportAt) > reportTTL {
 		return unknownTurn
 	}
 	return u.report.Closes - now.Sub(u.reportAt)
 }
 
 // recordFailure counts a failure and returns the length of the ejection that it causes, 0 for none.
-func (u *upstream) failed(now time.Time) time.Duration {
+func (u *upstream) recordFailure(now time.Time) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.failures++
@@ -283,31 +283,31 @@
 }
 
 // recordTimeout ejects a server that sent nothing for too long, and returns the length of the ejection.
-func (u *upstream) silent(now time.Time) time.Duration {
+func (u *upstream) recordTimeout(now time.Time) time.Duration {
 	u.mu.Lock()
 	u.failures = max(u.failures, failuresToEject)
 	u.observeLag(minSilence, now)
 	u.mu.Unlock()
-	return u.failed(now)
+	return u.recordFailure(now)
 }
 
 // recordUnreachable ejects a server to which no connection could be opened.
-func (u *upstream) unreachable(now time.Time) {
+func (u *upstream) recordUnreachable(now time.Time) {
 	u.mu.Lock()
 	u.failures = max(u.failures, failuresToEject)
 	u.mu.Unlock()
-	u.failed(now)
+	u.recordFailure(now)
 }
 
 // recordMisdirected records that the server rejected a request which the list says it can run.
-func (u *upstream) deny(now time.Time) {
+func (u *upstream) recordMisdirected(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.denied = now
+	u.misdirectedAt = now
 }
 
 // recordSuccess resets the failure count and ends an ejection.
-func (u *upstream) succeeded() {
+func (u *upstream) recordSuccess() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.failures, u.ejection, u.ejectedUntil = 0, 0, time.Time{}
--- a/forward/upstreams.go
+++ b/forward/upstreams.go
@@ -18,7 +18,7 @@
 	// subset.
 	subsetWeights func(servers []view.Listed) map[string]float64
 	// limitSharers returns the number of entries that share a server's limit; nil means one.
-	sharers func() int
+	limitSharers func() int
 
 	mu   sync.RWMutex
 	byID map[string]*upstream
@@ -63,7 +63,7 @@
 		if us.subsetWeights != nil {
 			weight = weights[server.ID]
 		}
-		up.listed(server, weight)
+		up.applyListing(server, weight)
 		us.byID[server.ID] = up
 		us.add(up, server.Service, weight)
 	}
@@ -93,14 +93,14 @@
 }
 
 // preferred returns the servers of a service in the entry's subset.
-func (us *upstreams) of(service string) []*upstream {
+func (us *upstreams) preferred(service string) []*upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
 	return us.preferredByService[service]
 }
 
 // fallback returns the servers of a service outside the entry's subset.
-func (us *upstreams) besides(service string) []*upstream {
+func (us *upstreams) fallback(service string) []*upstream {
 	us.mu.RLock()
 	defer us.mu.RUnlock()
 	return us.fallbackByService[service]
@@ -117,7 +117,7 @@
 }
 
 // applyReport applies the report of a server's box; reports of an older incarnation are ignored.
-func (us *upstreams) heard(report link.Report, now time.Time) {
+func (us *upstreams) applyReport(report link.Report, now time.Time) {
 	up := us.byServer(report.Server)
 	if up == nil {
 		return
@@ -129,10 +129,10 @@
 		up = us.replaceRestarted(up, report.Born)
 	}
 	entries := 1
-	if us.sharers != nil {
-		entries = us.sharers()
+	if us.limitSharers != nil {
+		entries = us.limitSharers()
 	}
-	up.heard(report, entries, now)
+	up.applyReport(report, entries, now)
 	reportsTaken.Inc()
 }
 
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -8,43 +8,43 @@
 	"github.com/coralstair/coralstair/pushback"
 )
 
-// Ask holds what the head of a caller's request says.
-type Ask struct {
+// RequestInfo holds what the head of a caller's request says.
+type RequestInfo struct {
 	ID  string
 	Key string
 	// Timeout is how long the caller waits; 0 if unset.
-	Wait  time.Duration
-	Model string
+	Timeout time.Duration
+	Model   string
 	// PromptTokens is the length of the prompt and MaxAnswerTokens the limit of the answer; 0 if unset.
-	Prompt int
-	Answer int
+	PromptTokens    int
+	MaxAnswerTokens int
 	// AnswerTokensHint is the caller's estimate of the answer's length; 0 if unset.
-	Hint int
+	AnswerTokensHint int
 	// LastEvent is the ID of the last stream event that the caller has.
 	LastEvent string
 }
 
 // answer returns the best estimate of the answer's length in tokens; 0 if there is none.
-func (a Ask) answer() int {
-	if a.Hint > 0 && (a.Answer == 0 || a.Hint < a.Answer) {
-		return a.Hint
+func (a RequestInfo) answer() int {
+	if a.AnswerTokensHint > 0 && (a.MaxAnswerTokens == 0 || a.AnswerTokensHint < a.MaxAnswerTokens) {
+		return a.AnswerTokensHint
 	}
-	return a.Answer
+	return a.MaxAnswerTokens
 }
 
-// Send holds what an attempt tells the server in addition to the caller's request.
-type Send struct {
-	Left   time.Duration
-	Server string
-	Team   string
+// AttemptInfo holds what an attempt tells the server in addition to the caller's request.
+type AttemptInfo struct {
+	TimeLeft time.Duration
+	Server   string
+	Team     string
 	// Version is the version that the server must run; 0 for any.
 	Version   contract.Version
 	Priority  int
 	LastEvent string
 }
 
-// Reply holds what the head of a server's response says.
-type Reply struct {
+// ResponseInfo holds what the head of a server's response says.
+type ResponseInfo struct {
 	ID     string
 	Sealed bool
 	// NotRun is set if the server did not run the request and never will.
@@ -58,12 +58,12 @@
 
 // Wire translates between the headers of callers and servers and the types of this package.
 type Wire interface {
-	Ask(r *http.Request) Ask
+	ParseRequest(r *http.Request) RequestInfo
 	// SetRequestHeaders sets the headers of an attempt in a copy of the caller's header, and removes those that servers must not see.
-	Outgoing(header http.Header, info Send)
-	Reply(resp *http.Response) Reply
+	SetRequestHeaders(header http.Header, info AttemptInfo)
+	ParseResponse(resp *http.Response) ResponseInfo
 	// SetRefusalHeaders sets the headers of the entry's own response; after is the Retry-After, 0 for none.
-	Refused(header http.Header, id string, after time.Duration)
+	SetRefusalHeaders(header http.Header, id string, after time.Duration)
 	// EventVersion returns the version that a stream event announces; ok is false if it announces none.
 	EventVersion(event []byte) (version contract.Version, ok bool)
 }
