--- a/fill/fetch.go
+++ b/fill/fetch.go
@@ -39,7 +39,7 @@
 		b.log.WithField("cause", err.Error()).Warn("fill: the newest version is not known")
 		return
 	}
-	b.cfg.View.OfferTarget(contract.Target{Model: model, Version: m.Version}, 0)
+	b.cfg.View.ObservePeerTarget(contract.Target{Model: model, Version: m.Version}, 0)
 }
 
 // ensureManifest gets the version's manifest from a neighbour, or from the origin if this box is the first of its site or
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -89,7 +89,7 @@
 		return
 	}
 	turn := clock.Now()
-	if deadline, ok := b.cfg.View.Due(u.model, old); old != 0 && ok {
+	if deadline, ok := b.cfg.View.VersionDeadline(u.model, old); old != 0 && ok {
 		turn = b.loadTurn(u.namedAt, deadline)
 	}
 	b.mu.Lock()
--- a/fill/outlink.go
+++ b/fill/outlink.go
@@ -85,7 +85,7 @@
 			b.takeManifest(manifest, l.member.ID)
 		}
 	case *link.Target:
-		b.cfg.View.OfferTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
+		b.cfg.View.ObservePeerTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
 	case *link.Have:
 		if u := b.updateByKey(m.Manifest); u != nil {
 			b.mu.Lock()
--- a/forward/boxlinks.go
+++ b/forward/boxlinks.go
@@ -38,7 +38,7 @@
 	weights     map[string]float64
 	entryCounts map[string]entryCount
 	links       map[string]*boxLink
-	sentTargets []view.Named
+	sentTargets []view.ObservedTarget
 	// followers are the boxes that receive configuration and the server list, listFollowers the entries of the site that receive the
 	// server list.
 	followers     map[*link.Conn]*follower
@@ -201,7 +201,7 @@
 		switch msg := msg.(type) {
 		case *link.Report:
 			bl.entry.upstreams.applyReport(*msg, clock.Now())
-			bl.entry.cfg.View.OfferRevision(msg.Revision)
+			bl.entry.cfg.View.ObservePeerRevision(msg.Revision)
 			bl.updateEntryCount(address, msg)
 		case *link.Follow:
 			bl.setFollower(conn, msg.Service)
@@ -250,7 +250,7 @@
 }
 
 // sendTarget sends a target version. It is dropped if the link is full: the box receives it from other entries too.
-func sendTarget(conn *link.Conn, target view.Named) {
+func sendTarget(conn *link.Conn, target view.ObservedTarget) {
 	_ = trySend(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Ago: clock.Since(target.At)})
 }
 
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -163,7 +163,7 @@
 // missesVersionDeadline reports whether a request might start at a server after the deadline of its version, with a
 // margin for delays on the way.
 func (e *Entry) missesVersionDeadline(up *upstream, model string, c choice, now time.Time) bool {
-	due, older := e.cfg.View.Due(model, c.version)
+	due, older := e.cfg.View.VersionDeadline(model, c.version)
 	if !older {
 		return false
 	}
--- a/forward/denied_test.go
+++ b/forward/denied_test.go
@@ -37,7 +37,7 @@
 	listed := contract.Server{
 		ID: serverName(0), Service: "s", Address: misdirects.address, Slots: 9, Loaded: map[string]contract.Version{testModel: 2},
 	}
-	w.entry.upstreams.update([]view.Listed{{Server: listed}})
+	w.entry.upstreams.update([]view.ListedServer{{Server: listed}})
 	ask()
 	if n := misdirects.arrivals(); n != 3 {
 		t.Errorf("%d requests sent, want one more once its list entry changes", n)
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -41,7 +41,7 @@
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	for conn, f := range bl.followers {
-		for _, msg := range f.updates(cfg, listed[f.service], v.InTouch()) {
+		for _, msg := range f.updates(cfg, listed[f.service], v.StoreReachable()) {
 			if !trySend(conn, msg) {
 				delete(bl.followers, conn)
 				conn.Close()
@@ -52,10 +52,10 @@
 }
 
 // listedByService returns the servers that are listed now, by service and ID.
-func listedByService(servers []view.Listed) map[string]map[string]contract.Server {
+func listedByService(servers []view.ListedServer) map[string]map[string]contract.Server {
 	listed := make(map[string]map[string]contract.Server)
 	for _, server := range servers {
-		if !server.Missing.IsZero() {
+		if !server.MissingSince.IsZero() {
 			continue
 		}
 		if listed[server.Service] == nil {
--- a/forward/gone_test.go
+++ b/forward/gone_test.go
@@ -19,9 +19,9 @@
 		return contract.Server{ID: serverName(i), Service: "s", Address: address, Slots: 4}
 	}
 	list := func(until time.Time) {
-		w.entry.upstreams.update([]view.Listed{
+		w.entry.upstreams.update([]view.ListedServer{
 			{Server: server(0, fails.address)},
-			{Server: server(1, unlisted.address), Missing: time.Now().Add(-time.Second), Until: until},
+			{Server: server(1, unlisted.address), MissingSince: time.Now().Add(-time.Second), GoneAt: until},
 		})
 	}
 	list(time.Now().Add(time.Minute))
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -117,7 +117,7 @@
 
 // denyOrRetryLater denies a request. While a newer configuration that allows it may be in force, the caller is told to retry instead.
 func (e *Entry) denyOrRetryLater(w http.ResponseWriter, r *http.Request, info RequestInfo, status int, slug, detail string) {
-	if e.cfg.View.Doubtful() {
+	if e.cfg.View.MayBeStale() {
 		e.deny(w, r, info, http.StatusServiceUnavailable, "configuration-in-doubt", detail+" as far as is known; the store is away", loadingRetryAfter)
 		return
 	}
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -53,7 +53,7 @@
 // startVersionTimer cancels a request that has not begun shortly before the deadline of its server's version: a slot
 // could become free after it, and the outdated version would answer.
 func (a *attempt) startVersionTimer() {
-	due, older := a.call.entry.cfg.View.Due(a.call.model(), a.choice.version)
+	due, older := a.call.entry.cfg.View.VersionDeadline(a.call.model(), a.choice.version)
 	if !older {
 		return
 	}
--- a/forward/listpublisher.go
+++ b/forward/listpublisher.go
@@ -31,14 +31,14 @@
 var listHeartbeatMessage = encodeMessage(&link.Servers{})
 
 // update publishes the list if it has changed.
-func (lp *listPublisher) update(servers []view.Listed) {
+func (lp *listPublisher) update(servers []view.ListedServer) {
 	if lp.listed == nil {
 		lp.listed = make(map[string]contract.Server, len(servers))
 	}
 	var changes link.Servers
 	present := 0
 	for _, server := range servers {
-		if !server.Missing.IsZero() {
+		if !server.MissingSince.IsZero() {
 			continue
 		}
 		present++
@@ -58,7 +58,7 @@
 }
 
 // removeUnlisted removes the servers that are no longer listed and returns their IDs.
-func (lp *listPublisher) removeUnlisted(servers []view.Listed) (gone []string) {
+func (lp *listPublisher) removeUnlisted(servers []view.ListedServer) (gone []string) {
 	listed := listedByID(servers)
 	for id := range lp.listed {
 		if _, stays := listed[id]; !stays {
--- a/forward/listpublisher_test.go
+++ b/forward/listpublisher_test.go
@@ -20,7 +20,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
 	var lp listPublisher
-	list := make(map[string]view.Listed)
+	list := make(map[string]view.ListedServer)
 	type listener struct {
 		listFollower
 		source *told.Source
@@ -33,15 +33,15 @@
 			case 0:
 				delete(list, id)
 			case 1:
-				list[id] = view.Listed{Server: contract.Server{ID: id}, Missing: now}
+				list[id] = view.ListedServer{Server: contract.Server{ID: id}, MissingSince: now}
 			default:
-				list[id] = view.Listed{Server: contract.Server{ID: id, Slots: rng.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(rng.IntN(2))}}}
+				list[id] = view.ListedServer{Server: contract.Server{ID: id, Slots: rng.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(rng.IntN(2))}}}
 			}
 		}
 		if rng.IntN(20) == 0 {
 			listeners = append(listeners, &listener{source: told.New(nil)})
 		}
-		var servers []view.Listed
+		var servers []view.ListedServer
 		for _, server := range list {
 			servers = append(servers, server)
 		}
--- a/forward/overdue_test.go
+++ b/forward/overdue_test.go
@@ -35,7 +35,7 @@
 	w.applyReport(1, link.Report{Filled: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
 	deadline := time.Now().Add(untilDeadline)
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
+	w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
 		w.entry.upstreams.applyReport(link.Report{Server: serverName(other), Model: testModel, Version: 2}, time.Now())
@@ -76,7 +76,7 @@
 	w.applyReport(0, link.Report{Filled: true})
 	w.applyReport(1, link.Report{Filled: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
+	w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
 		other := 1 - min(two.arrivals(), 1)
 		w.entry.upstreams.applyReport(link.Report{Server: serverName(other), Model: testModel, Version: 2}, time.Now())
--- a/forward/pushback_test.go
+++ b/forward/pushback_test.go
@@ -185,11 +185,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			up := &upstream{}
-			up.applyListing(view.Listed{Server: contract.Server{ID: id}}, 1)
+			up.applyListing(view.ListedServer{Server: contract.Server{ID: id}}, 1)
 			up.applyPushback(pushback.Word{Leaving: true}, time.Now(), time.Now(), 1)
 			up.applyPushback(pushback.Word{}, time.Now(), time.Now(), 1)
 			for _, leaving := range rows {
-				up.applyListing(view.Listed{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
+				up.applyListing(view.ListedServer{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
 			}
 			if !up.isLeaving() {
 				t.Error("the server counts as staying")
@@ -201,8 +201,8 @@
 // TestARowThatLapsesTakesNothingBack checks that pushback outlives the server's list entry, unless another
 // incarnation takes its place.
 func TestARowThatLapsesTakesNothingBack(t *testing.T) {
-	listed := func(born int64) []view.Listed {
-		return []view.Listed{{Server: contract.Server{ID: serverName(0), Service: "s", Born: born}}}
+	listed := func(born int64) []view.ListedServer {
+		return []view.ListedServer{{Server: contract.Server{ID: serverName(0), Service: "s", Born: born}}}
 	}
 	for name, test := range map[string]struct {
 		again int64
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -253,7 +253,7 @@
 		// told that the store is lost.
 		return
 	}
-	reads := v.Ready() && v.InTouch() && (source == nil || !source.Tells()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
+	reads := v.Ready() && v.StoreReachable() && (source == nil || !source.Tells()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	if reads && len(bl.listFollowers) > 0 {
@@ -293,10 +293,10 @@
 }
 
 // listedByID returns the servers that are listed now, by ID.
-func listedByID(servers []view.Listed) map[string]contract.Server {
+func listedByID(servers []view.ListedServer) map[string]contract.Server {
 	listed := make(map[string]contract.Server, len(servers))
 	for _, server := range servers {
-		if server.Missing.IsZero() {
+		if server.MissingSince.IsZero() {
 			listed[server.ID] = server.Server
 		}
 	}
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -56,7 +56,7 @@
 
 // setServers sets the list of servers.
 func (s *countingStore) setServers(ids ...string) {
-	list := &view.Servers{Cursor: view.Cursor{Place: int64(len(ids))}}
+	list := &view.Servers{Cursor: view.Cursor{Position: int64(len(ids))}}
 	for _, id := range ids {
 		list.Present = append(list.Present, contract.Server{ID: id, Service: "s", Address: "h:" + id, Slots: 1})
 	}
@@ -100,7 +100,7 @@
 	store := &countingStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
 	store.setServers("1", "2")
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
-	source := told.NewForEntry(view.Reissue(store), ListWait(m.Bounds.Drain))
+	source := told.NewForEntry(view.Hedge(store), ListWait(m.Bounds.Drain))
 	v := view.New(source, view.Options{Log: logger})
 	links, err := net.Listen("tcp", m.LinkAt(host))
 	if err != nil {
@@ -149,7 +149,7 @@
 	for time.Since(began) < limit {
 		n := 0
 		for _, server := range env.entries[i].cfg.View.Servers() {
-			if server.Missing.IsZero() {
+			if server.MissingSince.IsZero() {
 				n++
 			}
 		}
--- a/forward/rtt.go
+++ b/forward/rtt.go
@@ -98,7 +98,7 @@
 	if filled || version == 0 {
 		return false
 	}
-	_, older := e.cfg.View.Due(model, version)
+	_, older := e.cfg.View.VersionDeadline(model, version)
 	return older
 }
 
--- a/forward/rtt_test.go
+++ b/forward/rtt_test.go
@@ -36,8 +36,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newModelTestEnv(t, "127.0.0.1:1")
-			w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, 0)
-			due, _ := w.entry.cfg.View.Due(testModel, 1)
+			w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, 0)
+			due, _ := w.entry.cfg.View.VersionDeadline(testModel, 1)
 			up := w.entry.upstreams.byServer(serverName(0))
 			now := due.Add(-1500 * time.Millisecond)
 			up.reportAt, up.report.Filled, up.rtt = now, test.filled, test.way(now)
@@ -71,8 +71,8 @@
 
 func TestCongestedServerGetsNoRequestNearDeadline(t *testing.T) {
 	w := newModelTestEnv(t, "127.0.0.1:1")
-	w.entry.cfg.View.OfferTarget(contract.Target{Model: testModel, Version: 2}, 0)
-	due, _ := w.entry.cfg.View.Due(testModel, 1)
+	w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, 0)
+	due, _ := w.entry.cfg.View.VersionDeadline(testModel, 1)
 	up := w.entry.upstreams.byServer(serverName(0))
 	now := due.Add(-3200 * time.Millisecond)
 	want := requirements{service: w.entry.cfg.View.Config().Service("s"), model: testModel, promptTokens: 100}
--- a/forward/size_test.go
+++ b/forward/size_test.go
@@ -13,14 +13,14 @@
 )
 
 // newSizedEntry returns an entry and a list of n servers, three quarters of them model servers.
-func newSizedEntry(n int) (*Entry, []view.Listed) {
-	servers := make([]view.Listed, n)
+func newSizedEntry(n int) (*Entry, []view.ListedServer) {
+	servers := make([]view.ListedServer, n)
 	for i := range servers {
 		service := "s"
 		if i%4 == 3 {
 			service = "plain"
 		}
-		servers[i] = view.Listed{Server: contract.Server{
+		servers[i] = view.ListedServer{Server: contract.Server{
 			ID: serverName(i), Service: service, Address: fmt.Sprintf("10.%d.%d.%d:8000", i/65536, i/256%256, i%256), Site: "z",
 			Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
 		}}
@@ -102,7 +102,7 @@
 // publishWork is an entry that publishes the list of servers.
 type publishWork struct {
 	entry     *Entry
-	servers   []view.Listed
+	servers   []view.ListedServer
 	publisher listPublisher
 	followers []*listFollower
 }
@@ -141,7 +141,7 @@
 }
 
 // publishChanges computes and encodes the messages due for each follower.
-func publishChanges(publisher *listPublisher, followers []*listFollower, servers []view.Listed) {
+func publishChanges(publisher *listPublisher, followers []*listFollower, servers []view.ListedServer) {
 	if len(followers) > 0 {
 		publisher.update(servers)
 	}
--- a/forward/staleconfig_test.go
+++ b/forward/staleconfig_test.go
@@ -24,7 +24,7 @@
 			t.Errorf("%s: status %d, want %d", name, got.status, ask.status)
 		}
 	}
-	for deadline := time.Now().Add(5 * time.Second); !w.entry.cfg.View.Doubtful() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(5 * time.Second); !w.entry.cfg.View.MayBeStale() && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	for name, ask := range asks {
--- a/forward/subset.go
+++ b/forward/subset.go
@@ -26,7 +26,7 @@
 }
 
 // subsetWeights returns the weights of the servers in the entry's subset, by ID.
-func (e *Entry) subsetWeights(servers []view.Listed) map[string]float64 {
+func (e *Entry) subsetWeights(servers []view.ListedServer) map[string]float64 {
 	cfg := e.cfg.View.Config()
 	weights := make(map[string]float64, len(servers))
 	boxes, ids := make(map[string][]subset.Box), make(map[string][]string)
--- a/forward/subset_test.go
+++ b/forward/subset_test.go
@@ -11,13 +11,13 @@
 )
 
 // newSubsetEnv returns an entry and a list of servers spread over sites, each at a box of its own.
-func newSubsetEnv(t *testing.T, servers, sites int) (*testEnv, []view.Listed) {
+func newSubsetEnv(t *testing.T, servers, sites int) (*testEnv, []view.ListedServer) {
 	t.Helper()
 	w := newModelTestEnv(t, "10.0.0.1:1")
 	w.entry.cfg.Machine.Site = "site0"
-	var listed []view.Listed
+	var listed []view.ListedServer
 	for i := range servers {
-		listed = append(listed, view.Listed{Server: contract.Server{
+		listed = append(listed, view.ListedServer{Server: contract.Server{
 			ID: serverName(i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1), Site: fmt.Sprint("site", i%sites), Slots: 8,
 			Loaded: map[string]contract.Version{testModel: 1},
 		}})
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -179,7 +179,7 @@
 }
 
 // applyListing applies the server's entry in the list.
-func (u *upstream) applyListing(server view.Listed, weight float64) {
+func (u *upstream) applyListing(server view.ListedServer, weight float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.weight = weight
@@ -190,7 +190,7 @@
 	if !u.server.Equal(server.Server) {
 		u.misdirectedAt = time.Time{}
 	}
-	u.server, u.missing, u.unusableAt = server.Server, !server.Missing.IsZero(), server.Until
+	u.server, u.missing, u.unusableAt = server.Server, !server.MissingSince.IsZero(), server.GoneAt
 	u.listedBorn = server.Born
 	if u.born == 0 {
 		u.born = server.Born
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -63,15 +63,15 @@
 // newView returns a daemon's view of configuration and servers, and the sources that it reads.
 func newView(r role, m machine.Machine, platformStore *platform.Store, logger log.Interface) (*view.View, sources) {
 	opts := view.Options{
-		Log: logger, Drain: m.Bounds.Drain, VersionBound: m.Bounds.Version, Wait: view.WaitWithin(m.Bounds.Contact),
-		ServersSettle: view.SettleWithin(m.Bounds.Drain),
+		Log: logger, DrainTimeout: m.Bounds.Drain, VersionBound: m.Bounds.Version, PollTimeout: view.PollTimeoutWithin(m.Bounds.Contact),
+		ServersCoalesceDelay: view.ServersCoalesceDelayWithin(m.Bounds.Drain),
 	}
-	store := view.Reissue(platformStore)
+	store := view.Hedge(platformStore)
 	if !r.fedByEntries {
 		source := told.NewForEntry(store, forward.ListWait(m.Bounds.Drain))
 		return view.New(source, opts), sources{entry: source}
 	}
 	source := told.New(store)
-	opts.Reread, opts.Settle, opts.ServersSettle = true, peerCoalesceDelay, peerCoalesceDelay
+	opts.FullReadOnChange, opts.CoalesceDelay, opts.ServersCoalesceDelay = true, peerCoalesceDelay, peerCoalesceDelay
 	return view.New(source, opts), sources{box: source}
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -55,7 +55,7 @@
 	if opts.Log == nil {
 		opts.Log = log.Log
 	}
-	opts.Wait = cmp.Or(opts.Wait, view.DefaultWait)
+	opts.Wait = cmp.Or(opts.Wait, view.DefaultPollTimeout)
 	return &Quarantine{
 		opts: opts, retention: KeepTime + rand.N(retentionJitter), writeRequested: make(chan struct{}, 1), pending: make(map[string]bool),
 		missing: make(map[string]bool),
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -51,7 +51,7 @@
 	if s.unavailable {
 		return Records{}, view.Cursor{}, errUnavailable
 	}
-	return Records{Ends: slices.Collect(maps.Values(s.exits)), Answers: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Place: s.cursor}, nil
+	return Records{Ends: slices.Collect(maps.Values(s.exits)), Answers: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Position: s.cursor}, nil
 }
 
 func (s *sharedStore) RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
@@ -65,8 +65,8 @@
 	}
 	for deadline := time.After(wait); ; {
 		s.mu.Lock()
-		records, at, unavailable, changed := s.changesAfter(cursor.Place), view.Cursor{Epoch: s.epoch, Place: s.cursor}, s.unavailable, s.changed
-		gone := cursor.Place < s.oldestPosition || cursor.Epoch != s.epoch
+		records, at, unavailable, changed := s.changesAfter(cursor.Position), view.Cursor{Epoch: s.epoch, Position: s.cursor}, s.unavailable, s.changed
+		gone := cursor.Position < s.oldestPosition || cursor.Epoch != s.epoch
 		s.mu.Unlock()
 		switch {
 		case unavailable:
--- a/quarantine/sync.go
+++ b/quarantine/sync.go
@@ -74,7 +74,7 @@
 		records Records
 		cursor  view.Cursor
 	}
-	got, err := view.Reissued(ctx, wait, func(ctx context.Context, wait time.Duration) (result, error) {
+	got, err := view.HedgedPoll(ctx, wait, func(ctx context.Context, wait time.Duration) (result, error) {
 		records, next, err := q.opts.Store.RecordsAfter(ctx, cursor, wait)
 		return result{records, next}, err
 	})
--- a/told/source.go
+++ b/told/source.go
@@ -39,7 +39,7 @@
 }
 
 // noCursor marks data from an entry's feed, which has no position in the store's history.
-var noCursor = view.Cursor{Place: -1}
+var noCursor = view.Cursor{Position: -1}
 
 // Source is a view source that uses an entry's feed, or the store while there is no feed.
 type Source struct {
@@ -140,7 +140,7 @@
 
 // Declared returns the declared state from the feed, or from the store if there is no feed in time.
 func (s *Source) Declared(ctx context.Context) (view.Declared, error) {
-	return s.DeclaredAfter(ctx, noCursor, view.DefaultWait)
+	return s.DeclaredAfter(ctx, noCursor, view.DefaultPollTimeout)
 }
 
 // DeclaredAfter waits for a change of the declared state.
@@ -168,7 +168,7 @@
 	s.mu.Lock()
 	s.delivered = nil
 	s.mu.Unlock()
-	return s.ServersAfter(ctx, noCursor, view.DefaultWait)
+	return s.ServersAfter(ctx, noCursor, view.DefaultPollTimeout)
 }
 
 // ServersAfter waits for a change of the list of servers.
@@ -179,7 +179,7 @@
 			return false
 		}
 		changes := diffServers(s.delivered, s.servers)
-		if s.delivered != nil && len(changes.Present)+len(changes.Gone) == 0 {
+		if s.delivered != nil && len(changes.Present)+len(changes.Removed) == 0 {
 			return false
 		}
 		servers, s.delivered = changes, maps.Clone(s.servers)
@@ -211,7 +211,7 @@
 	for _, server := range servers.Present {
 		s.delivered[server.ID] = server
 	}
-	for _, id := range slices.Concat(servers.Gone, servers.Unread) {
+	for _, id := range slices.Concat(servers.Removed, servers.Unreadable) {
 		delete(s.delivered, id)
 	}
 }
@@ -233,7 +233,7 @@
 	defer s.mu.Unlock()
 	for id := range s.delivered {
 		if !present[id] {
-			servers.Gone = append(servers.Gone, id)
+			servers.Removed = append(servers.Removed, id)
 		}
 	}
 	return servers, nil
@@ -261,7 +261,7 @@
 // diffServers returns the changes from an old list to a new one.
 func diffServers(old, list map[string]contract.Server) view.Servers {
 	present, gone := contract.Changes(old, list)
-	return view.Servers{Present: present, Gone: gone, Cursor: noCursor}
+	return view.Servers{Present: present, Removed: gone, Cursor: noCursor}
 }
 
 // awaitChange returns as soon as deliver finds a change in the feed, or after wait without one. While there is no feed it reads the
--- a/told/source_test.go
+++ b/told/source_test.go
@@ -73,8 +73,8 @@
 				source.TakeServers(&link.Servers{Present: serversWithIDs("c"), Gone: []string{"a"}})
 			})
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || !slices.Equal(changes.Gone, []string{"a"}) {
-				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || !slices.Equal(changes.Removed, []string{"a"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
 			if store.reads+store.waits != 0 {
 				t.Errorf("%d calls to the store, want none", store.reads+store.waits)
@@ -99,8 +99,8 @@
 				source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
 			})
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(changes.Present), []string{"b"}) || !slices.Equal(changes.Gone, []string{"a"}) {
-				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"b"}) || !slices.Equal(changes.Removed, []string{"a"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
 			if store.cancelled != 1 {
 				t.Error("the call to the store was not cancelled")
@@ -114,8 +114,8 @@
 			}
 			time.AfterFunc(time.Second, source.Silent)
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
-			if err != nil || !slices.Equal(ids(changes.Present), []string{"a"}) || !slices.Equal(changes.Gone, []string{"b"}) {
-				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Gone, err)
+			if err != nil || !slices.Equal(ids(changes.Present), []string{"a"}) || !slices.Equal(changes.Removed, []string{"b"}) {
+				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
 		},
 		"a change before the full list is ignored": func(t *testing.T, _ *countingStore, source *Source) {
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &countingStore{servers: view.Servers{Present: serversWithIDs("a"), Cursor: view.Cursor{Place: 7}}}
+				store := &countingStore{servers: view.Servers{Present: serversWithIDs("a"), Cursor: view.Cursor{Position: 7}}}
 				test(t, store, New(store))
 			})
 		})
@@ -165,7 +165,7 @@
 // the next change would be mistaken for the full list.
 func TestTellingBeginsBesideARead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &feedingStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Place: 1}}}}
+		store := &feedingStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 1}}}}
 		store.source = NewForEntry(store, time.Second)
 		time.AfterFunc(500*time.Millisecond, func() { store.source.TakeServers(&link.Servers{Present: serversWithIDs("c")}) })
 		whole, err := store.source.Servers(t.Context())
@@ -174,8 +174,8 @@
 		}
 		time.Sleep(time.Second)
 		changes, err := store.source.ServersAfter(t.Context(), whole.Cursor, time.Second)
-		if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || len(changes.Gone) > 0 {
-			t.Errorf("then %v, gone %v, %v", ids(changes.Present), changes.Gone, err)
+		if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || len(changes.Removed) > 0 {
+			t.Errorf("then %v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 		}
 	})
 }
@@ -217,7 +217,7 @@
 
 func (s *longStore) SomeServers(_ context.Context, limit int) (view.Servers, error) {
 	s.partialReads++
-	return view.Servers{Present: serversWithIDs("a"), Partial: limit < 3000, Cursor: view.Cursor{Place: 1}}, nil
+	return view.Servers{Present: serversWithIDs("a"), Partial: limit < 3000, Cursor: view.Cursor{Position: 1}}, nil
 }
 
 // TestALongListIsReadByOne checks that a starting daemon reads a part of a long list at once, and all of it only if no entry sends it.
@@ -236,7 +236,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Place: 2}}}}
+				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 2}}}}
 				source := NewForEntry(store, time.Second)
 				began := time.Now()
 				first, err := source.Servers(t.Context())
--- a/view/apply.go
+++ b/view/apply.go
@@ -33,7 +33,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.observeEpoch(declared.Cursor)
-	for _, fault := range declared.Faults {
+	for _, fault := range declared.Errors {
 		configFaults.Inc()
 		v.opts.Log.WithField("cause", fault.Error()).Error("view: what was declared cannot be read; the last known stays")
 	}
@@ -85,7 +85,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := v.now()
-	for _, fault := range servers.Faults {
+	for _, fault := range servers.Errors {
 		listFaults.Inc()
 		v.opts.Log.WithField("cause", fault.Error()).Error("view: an entry of the list names no server to use")
 	}
@@ -103,10 +103,10 @@
 		v.markReplaced(server)
 		v.putServer(server)
 	}
-	for _, id := range servers.Unread {
+	for _, id := range servers.Unreadable {
 		v.removeServer(id)
 	}
-	for _, id := range servers.Gone {
+	for _, id := range servers.Removed {
 		delete(v.relisted, id)
 		v.markMissing(id, now)
 	}
@@ -203,8 +203,8 @@
 		return
 	}
 	grace := missingGrace
-	if v.opts.Drain > 0 {
-		grace = max(min(grace, v.opts.Drain-drainMargin), 0)
+	if v.opts.DrainTimeout > 0 {
+		grace = max(min(grace, v.opts.DrainTimeout-drainMargin), 0)
 	}
 	if now.Sub(v.lastFailure) < outageWindow {
 		grace = outageGrace
--- a/view/follow.go
+++ b/view/follow.go
@@ -32,11 +32,11 @@
 		v.checkEpoch(known, cursor, declared.Cursor)
 		changed := v.applyDeclared(declared, first)
 		v.confirmDeclared()
-		cursor, known, first = declared.Cursor, !changed || first || !v.opts.Reread, false
+		cursor, known, first = declared.Cursor, !changed || first || !v.opts.FullReadOnChange, false
 		if !changed {
 			return 0, nil
 		}
-		return coalesceDelay(declared.Size, v.opts.Settle), nil
+		return coalesceDelay(declared.Size, v.opts.CoalesceDelay), nil
 	})
 }
 
@@ -62,10 +62,10 @@
 		}
 		v.confirmList()
 		cursor, known = servers.Cursor, true
-		if len(servers.Present)+len(servers.Gone) == 0 {
+		if len(servers.Present)+len(servers.Removed) == 0 {
 			return 0, nil
 		}
-		return v.opts.ServersSettle, nil
+		return v.opts.ServersCoalesceDelay, nil
 	})
 }
 
@@ -85,9 +85,9 @@
 
 // follow makes one call after another with the delay that each returns, and backs off exponentially after failures.
 func (v *View) follow(ctx context.Context, feed string, call func(ctx context.Context, wait time.Duration) (time.Duration, error)) error {
-	backoff, lost := v.opts.Retry, false
+	backoff, lost := v.opts.MinRetryDelay, false
 	for {
-		timeout := v.opts.Wait
+		timeout := v.opts.PollTimeout
 		if lost {
 			// A long poll that is sent during an outage may hang long after the store is back.
 			timeout = 0
@@ -109,7 +109,7 @@
 				v.opts.Log.WithField("feed", feed).Info("view: the store is back")
 				v.noteReachable()
 			}
-			backoff, lost = v.opts.Retry, false
+			backoff, lost = v.opts.MinRetryDelay, false
 		}
 		if wait == 0 {
 			continue
--- a/view/hedge.go
+++ b/view/hedge.go
@@ -14,8 +14,8 @@
 	maxCalls = 4
 )
 
-// Reissue returns a source that hedges calls whose response is overdue; the first response is used.
-func Reissue(source Source) Source { return hedgedSource{source} }
+// Hedge returns a source that hedges calls whose response is overdue; the first response is used.
+func Hedge(source Source) Source { return hedgedSource{source} }
 
 type hedgedSource struct{ source Source }
 
@@ -54,17 +54,17 @@
 	})
 }
 
-// Reissued makes a call that waits for a change, and hedges it when its response is overdue; the first response is used.
-func Reissued[T any](ctx context.Context, wait time.Duration, call func(ctx context.Context, wait time.Duration) (T, error)) (T, error) {
+// HedgedPoll makes a call that waits for a change, and hedges it when its response is overdue; the first response is used.
+func HedgedPoll[T any](ctx context.Context, wait time.Duration, call func(ctx context.Context, wait time.Duration) (T, error)) (T, error) {
 	return callHedged(ctx, wait, hedgeAfter, call)
 }
 
-// responseStartedKey is the context key of the function that Begun calls.
+// responseStartedKey is the context key of the function that ResponseStarted calls.
 type responseStartedKey struct{}
 
-// Begun reports that the response to the call of ctx has started to arrive, so that the call is not hedged any more: another call
+// ResponseStarted reports that the response to the call of ctx has started to arrive, so that the call is not hedged any more: another call
 // would only transfer the same bytes twice.
-func Begun(ctx context.Context) {
+func ResponseStarted(ctx context.Context) {
 	if started, ok := ctx.Value(responseStartedKey{}).(func()); ok {
 		started()
 	}
--- a/view/hedge_test.go
+++ b/view/hedge_test.go
@@ -59,8 +59,8 @@
 		s.mu.Lock()
 		revision, changed := s.revision, s.changed
 		s.mu.Unlock()
-		if int64(revision) > cursor.Place {
-			Begun(ctx)
+		if int64(revision) > cursor.Position {
+			ResponseStarted(ctx)
 			time.Sleep(s.body)
 			return revision, nil
 		}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return Declared{}, err
 	}
-	return Declared{Config: config(revision), Cursor: Cursor{Place: int64(revision)}}, nil
+	return Declared{Config: config(revision), Cursor: Cursor{Position: int64(revision)}}, nil
 }
 
 func (s *fakeStore) Servers(ctx context.Context) (Servers, error) {
@@ -128,7 +128,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeStore{revision: 1, changed: make(chan struct{}), hangs: test.hangs, slow: test.slow, began: time.Now()}
-				v := New(Reissue(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
+				v := New(Hedge(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() { _ = v.ServeDeclared(ctx) }()
 				time.Sleep(test.declared)
@@ -137,7 +137,7 @@
 				if got := v.Config(); got == nil || got.Revision != 2 {
 					t.Errorf("%s after the change: configuration %+v, want revision 2", test.known, got)
 				}
-				if v.Doubtful() && test.slow == 0 {
+				if v.MayBeStale() && test.slow == 0 {
 					t.Error("the configuration may be stale, want it confirmed")
 				}
 				cancel()
@@ -152,18 +152,18 @@
 		silent := false
 		s := &fakeStore{revision: 1, changed: make(chan struct{}), began: time.Now()}
 		s.hangs = func(int, time.Duration) bool { return silent }
-		v := New(Reissue(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
+		v := New(Hedge(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = v.ServeDeclared(ctx) }()
 		time.Sleep(time.Minute)
-		if v.Doubtful() {
+		if v.MayBeStale() {
 			t.Error("the configuration may be stale while the store responds")
 		}
 		s.mu.Lock()
 		silent = true
 		s.mu.Unlock()
 		time.Sleep(6 * time.Second)
-		if !v.Doubtful() {
+		if !v.MayBeStale() {
 			t.Error("the configuration is not reported as possibly stale after 6 s without a response")
 		}
 		cancel()
@@ -173,13 +173,13 @@
 
 func TestWaitWithin(t *testing.T) {
 	for name, test := range map[string]struct{ bound, want time.Duration }{
-		"no bound":      {0, DefaultWait},
+		"no bound":      {0, DefaultPollTimeout},
 		"three seconds": {3 * time.Second, 2 * time.Second},
 		"four seconds":  {4 * time.Second, 3 * time.Second},
 		"tight bound":   {time.Second, minPollTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := WaitWithin(test.bound); got != test.want {
+			if got := PollTimeoutWithin(test.bound); got != test.want {
 				t.Errorf("poll timeout %s, want %s", got, test.want)
 			}
 		})
@@ -189,7 +189,7 @@
 // followStore returns a view that follows a store.
 func followStore(t *testing.T, s *fakeStore) *View {
 	s.revision, s.changed, s.began = 1, make(chan struct{}), time.Now()
-	v := New(Reissue(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
+	v := New(Hedge(s), Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = v.ServeDeclared(ctx) }()
 	t.Cleanup(func() {
--- a/view/peer.go
+++ b/view/peer.go
@@ -25,8 +25,8 @@
 	since    time.Time
 }
 
-// OfferRevision records a configuration revision that a peer knows.
-func (v *View) OfferRevision(revision contract.Revision) {
+// ObservePeerRevision records a configuration revision that a peer knows.
+func (v *View) ObservePeerRevision(revision contract.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if revision <= v.newestPeer.revision {
--- a/view/restore.go
+++ b/view/restore.go
@@ -32,7 +32,7 @@
 
 // observeEpoch records the store's epoch from a cursor and logs an increase; cursors of data from peers have no epoch. mu is held.
 func (v *View) observeEpoch(cursor Cursor) {
-	if cursor.Place < 0 || v.epochKnown && cursor.Epoch <= v.epoch {
+	if cursor.Position < 0 || v.epochKnown && cursor.Epoch <= v.epoch {
 		return
 	}
 	if v.epochKnown {
@@ -112,6 +112,6 @@
 
 // checkEpoch asserts that changes read after a cursor are of the cursor's epoch; data from peers has no position in the history.
 func (v *View) checkEpoch(changes bool, requested, received Cursor) {
-	holds := !changes || requested.Place < 0 || received.Place < 0 || requested.Epoch == received.Epoch
-	v.opts.Checks.Check(holds, invariant.CursorOfItsEpoch, "changes after place %d of epoch %d are of epoch %d", requested.Place, requested.Epoch, received.Epoch)
+	holds := !changes || requested.Position < 0 || received.Position < 0 || requested.Epoch == received.Epoch
+	v.opts.Checks.Check(holds, invariant.CursorOfItsEpoch, "changes after place %d of epoch %d are of epoch %d", requested.Position, requested.Epoch, received.Epoch)
 }
--- a/view/restore_test.go
+++ b/view/restore_test.go
@@ -11,12 +11,12 @@
 
 // listOf is a list of servers in an epoch.
 func listOf(epoch store.Epoch, servers ...contract.Server) response[Servers] {
-	return response[Servers]{value: Servers{Present: servers, Cursor: Cursor{Epoch: epoch, Place: 1}}}
+	return response[Servers]{value: Servers{Present: servers, Cursor: Cursor{Epoch: epoch, Position: 1}}}
 }
 
 // goneIn is a change that removes servers in an epoch.
 func goneIn(epoch store.Epoch, ids ...string) response[Servers] {
-	return response[Servers]{value: Servers{Gone: ids, Cursor: Cursor{Epoch: epoch, Place: 1}}}
+	return response[Servers]{value: Servers{Removed: ids, Cursor: Cursor{Epoch: epoch, Position: 1}}}
 }
 
 func serverBorn(id string, born int64, leaving bool) contract.Server {
@@ -92,7 +92,7 @@
 				synctest.Wait()
 				used := false
 				for _, server := range v.Servers() {
-					used = used || server.ID == "2" && !server.Leaving && server.Missing.IsZero() || server.ID == "2" && !server.Leaving && time.Now().Before(server.Until)
+					used = used || server.ID == "2" && !server.Leaving && server.MissingSince.IsZero() || server.ID == "2" && !server.Leaving && time.Now().Before(server.GoneAt)
 				}
 				if used != test.used {
 					t.Errorf("used: %t, want %t", used, test.used)
@@ -138,10 +138,10 @@
 			v.now = func() time.Time { return at }
 			v.applyDeclared(Declared{Config: config(test.own)}, true)
 			at = now.Add(-test.offeredAgo)
-			v.OfferRevision(test.offered)
+			v.ObservePeerRevision(test.offered)
 			at = now
 			v.confirmDeclared()
-			if got := v.Doubtful(); got != test.doubtful {
+			if got := v.MayBeStale(); got != test.doubtful {
 				t.Errorf("may be stale: %t, want %t", got, test.doubtful)
 			}
 			if got := v.Outdated(); got != test.outdated {
--- a/view/size_test.go
+++ b/view/size_test.go
@@ -78,7 +78,7 @@
 		all := manyServers(3)
 		present := func() (ids []string) {
 			for _, server := range v.Servers() {
-				if server.Missing.IsZero() {
+				if server.MissingSince.IsZero() {
 					ids = append(ids, server.ID)
 				}
 			}
--- a/view/source.go
+++ b/view/source.go
@@ -10,8 +10,8 @@
 
 // Cursor is a position in the store's history, valid in one epoch of the store.
 type Cursor struct {
-	Epoch store.Epoch
-	Place int64
+	Epoch    store.Epoch
+	Position int64
 }
 
 // Declared is the configuration and the targets that operators declared, in full or only what changed.
@@ -19,8 +19,8 @@
 	// Config is nil if it did not change.
 	Config  *contract.Config
 	Targets []contract.Target
-	// Faults are the errors of rows that could not be decoded.
-	Faults []error
+	// Errors are the errors of rows that could not be decoded.
+	Errors []error
 	Cursor Cursor
 	// Size is the length of the store's response in bytes, 0 if unknown.
 	Size int
@@ -30,12 +30,12 @@
 type Servers struct {
 	// Present holds the listed servers in the order in which their entries were written.
 	Present []contract.Server
-	// Gone holds the IDs of servers that are no longer listed.
-	Gone []string
-	// Unread holds the IDs of entries that are of a foreign writer or cannot be decoded; their servers are not used.
-	Unread []string
-	Faults []error
-	Cursor Cursor
+	// Removed holds the IDs of servers that are no longer listed.
+	Removed []string
+	// Unreadable holds the IDs of entries that are of a foreign writer or cannot be decoded; their servers are not used.
+	Unreadable []string
+	Errors     []error
+	Cursor     Cursor
 	// Partial marks a part of the list; the full list has yet to be read.
 	Partial bool
 }
--- a/view/view.go
+++ b/view/view.go
@@ -20,37 +20,37 @@
 	Log log.Interface
 	// Checks records violated invariants.
 	Checks *invariant.Recorder
-	// Wait is how long a call on a feed waits for a change; see WaitWithin.
-	Wait time.Duration
-	// Retry is the initial backoff after a failed call.
-	Retry time.Duration
-	// Settle is the longest delay after a declared change, shorter for a small response; ServersSettle is the delay after a change of
+	// PollTimeout is how long a call on a feed waits for a change; see PollTimeoutWithin.
+	PollTimeout time.Duration
+	// MinRetryDelay is the initial backoff after a failed call.
+	MinRetryDelay time.Duration
+	// CoalesceDelay is the longest delay after a declared change, shorter for a small response; ServersCoalesceDelay is the delay after a change of
 	// the list of servers. They let changes in quick succession share a call.
-	Settle        time.Duration
-	ServersSettle time.Duration
-	// Reread makes the view read all that is declared after a change, instead of every change since.
-	Reread bool
-	// Drain is how long a leaving server may still get requests; 0 means no bound.
-	Drain time.Duration
+	CoalesceDelay        time.Duration
+	ServersCoalesceDelay time.Duration
+	// FullReadOnChange makes the view read all that is declared after a change, instead of every change since.
+	FullReadOnChange bool
+	// DrainTimeout is how long a leaving server may still get requests; 0 means no bound.
+	DrainTimeout time.Duration
 	// VersionBound is how long after a new target requests may still start on an older version.
 	VersionBound time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultWait          = 1500 * time.Millisecond
-	DefaultRetry         = 100 * time.Millisecond
-	DefaultSettle        = 500 * time.Millisecond
-	DefaultServersSettle = 400 * time.Millisecond
+	DefaultPollTimeout          = 1500 * time.Millisecond
+	DefaultMinRetryDelay        = 100 * time.Millisecond
+	DefaultCoalesceDelay        = 500 * time.Millisecond
+	DefaultServersCoalesceDelay = 400 * time.Millisecond
 
 	// missingGrace is how long a server that is no longer listed counts as missing, not as gone; outageGrace is the same within
 	// outageWindow after a failed call to the store, since entries of live servers may expire during an outage.
 	missingGrace = 1500 * time.Millisecond
 	outageGrace  = 2500 * time.Millisecond
 	outageWindow = 3 * time.Second
-	// drainMargin is subtracted from Options.Drain, since a server's entry may disappear without being marked as leaving.
+	// drainMargin is subtracted from Options.DrainTimeout, since a server's entry may disappear without being marked as leaving.
 	drainMargin = 500 * time.Millisecond
-	// drainFraction divides Options.Drain: changes of the list may be late by this part of it.
+	// drainFraction divides Options.DrainTimeout: changes of the list may be late by this part of it.
 	drainFraction  = 5
 	minPollTimeout = time.Second
 )
@@ -92,19 +92,19 @@
 	lostFeeds int
 }
 
-// WaitWithin returns the longest poll timeout with which a stalled call is hedged within bound, or the default if there is no bound.
+// PollTimeoutWithin returns the longest poll timeout with which a stalled call is hedged within bound, or the default if there is no bound.
 // Each call is billed, so longer waits are cheaper.
-func WaitWithin(bound time.Duration) time.Duration {
+func PollTimeoutWithin(bound time.Duration) time.Duration {
 	if bound <= 0 {
-		return DefaultWait
+		return DefaultPollTimeout
 	}
 	return max(bound-2*hedgeAfter, minPollTimeout)
 }
 
-// SettleWithin returns the delay after a change of the list of servers for a drain timeout. A longer delay saves calls while servers
+// ServersCoalesceDelayWithin returns the delay after a change of the list of servers for a drain timeout. A longer delay saves calls while servers
 // start or load and the list changes all the time.
-func SettleWithin(drain time.Duration) time.Duration {
-	return max(drain/drainFraction, DefaultServersSettle)
+func ServersCoalesceDelayWithin(drain time.Duration) time.Duration {
+	return max(drain/drainFraction, DefaultServersCoalesceDelay)
 }
 
 // New returns an empty view of a source.
@@ -112,10 +112,10 @@
 	if opts.Log == nil {
 		opts.Log = log.Log
 	}
-	opts.Wait = cmp.Or(opts.Wait, DefaultWait)
-	opts.Retry = cmp.Or(opts.Retry, DefaultRetry)
-	opts.Settle = cmp.Or(opts.Settle, DefaultSettle)
-	opts.ServersSettle = cmp.Or(opts.ServersSettle, DefaultServersSettle)
+	opts.PollTimeout = cmp.Or(opts.PollTimeout, DefaultPollTimeout)
+	opts.MinRetryDelay = cmp.Or(opts.MinRetryDelay, DefaultMinRetryDelay)
+	opts.CoalesceDelay = cmp.Or(opts.CoalesceDelay, DefaultCoalesceDelay)
+	opts.ServersCoalesceDelay = cmp.Or(opts.ServersCoalesceDelay, DefaultServersCoalesceDelay)
 	return &View{
 		source: source, opts: opts, now: clock.Now,
 		targets: make(map[string]*history),
@@ -147,19 +147,19 @@
 	return v.config != nil && v.listKnown && len(v.servers) > 0
 }
 
-// InTouch reports whether the store responds on all feeds.
-func (v *View) InTouch() bool {
+// StoreReachable reports whether the store responds on all feeds.
+func (v *View) StoreReachable() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	return v.lostFeeds == 0
 }
 
-// Doubtful reports whether a newer configuration may be in force: the store has not responded for too long, or peers know a newer one.
-func (v *View) Doubtful() bool {
+// MayBeStale reports whether a newer configuration may be in force: the store has not responded for too long, or peers know a newer one.
+func (v *View) MayBeStale() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	// A working feed responds sooner, also when one call is hedged.
-	return v.behindPeers() || v.now().Sub(v.declaredConfirmed) > v.opts.Wait+2*hedgeAfter
+	return v.behindPeers() || v.now().Sub(v.declaredConfirmed) > v.opts.PollTimeout+2*hedgeAfter
 }
 
 // confirmDeclared records a successful call on the declared feed.
@@ -186,27 +186,27 @@
 // absence is since when a server is no longer listed, and until when it counts as missing rather than gone.
 type absence struct{ since, until time.Time }
 
-// Listed is a listed or recently missing server.
-type Listed struct {
+// ListedServer is a listed or recently missing server.
+type ListedServer struct {
 	contract.Server
-	// Missing is since when the server is no longer listed; zero while it is.
-	Missing time.Time
-	// Until is when the missing server counts as gone; zero while it is listed.
-	Until time.Time
+	// MissingSince is since when the server is no longer listed; zero while it is.
+	MissingSince time.Time
+	// GoneAt is when the missing server counts as gone; zero while it is listed.
+	GoneAt time.Time
 }
 
 // Servers returns the servers that are listed or recently went missing, without those replaced at their address.
-func (v *View) Servers() []Listed {
+func (v *View) Servers() []ListedServer {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	servers := make([]Listed, 0, len(v.servers))
+	servers := make([]ListedServer, 0, len(v.servers))
 	now := v.now()
 	for id, server := range v.servers {
 		gap, missing := v.missing[id]
 		if missing && now.After(gap.until) || v.isReplaced(id) {
 			continue
 		}
-		servers = append(servers, Listed{Server: server, Missing: gap.since, Until: gap.until})
+		servers = append(servers, ListedServer{Server: server, MissingSince: gap.since, GoneAt: gap.until})
 	}
 	return servers
 }
@@ -221,22 +221,22 @@
 	return v.newestLoaded(model), time.Time{}
 }
 
-// Named is a target and when it was first seen.
-type Named struct {
+// ObservedTarget is a target and when it was first seen.
+type ObservedTarget struct {
 	contract.Target
 	At time.Time
 }
 
 // Targets returns the newest target of each model, sorted by model.
-func (v *View) Targets() []Named {
+func (v *View) Targets() []ObservedTarget {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
-	var targets []Named
+	var targets []ObservedTarget
 	for model, h := range v.targets {
 		version, at := h.newest()
-		targets = append(targets, Named{Target: contract.Target{Model: model, Version: version}, At: at})
+		targets = append(targets, ObservedTarget{Target: contract.Target{Model: model, Version: version}, At: at})
 	}
-	slices.SortFunc(targets, func(a, b Named) int { return strings.Compare(a.Model, b.Model) })
+	slices.SortFunc(targets, func(a, b ObservedTarget) int { return strings.Compare(a.Model, b.Model) })
 	return targets
 }
 
@@ -249,16 +249,16 @@
 	return newest
 }
 
-// Due returns until when requests may start on a version of a model; ok is false while no newer target is known.
-func (v *View) Due(model string, runs contract.Version) (due time.Time, ok bool) {
+// VersionDeadline returns until when requests may start on a version of a model; ok is false while no newer target is known.
+func (v *View) VersionDeadline(model string, runs contract.Version) (due time.Time, ok bool) {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	at, ok := v.targets[model].after(runs)
 	return at.Add(v.opts.VersionBound), ok
 }
 
-// OfferTarget applies a target that a peer reports, with the time since it was named.
-func (v *View) OfferTarget(target contract.Target, ago time.Duration) {
+// ObservePeerTarget applies a target that a peer reports, with the time since it was named.
+func (v *View) ObservePeerTarget(target contract.Target, ago time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.addTarget(target, v.now().Add(-ago)) {
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -86,7 +86,7 @@
 		"a newer one is applied": {[]response[Declared]{{value: Declared{Config: config(4)}}, {value: Declared{Config: config(9)}}}, 9},
 		"an older one is not":    {[]response[Declared]{{value: Declared{Config: config(9)}}, {value: Declared{Config: config(4)}}}, 9},
 		"an undecodable row keeps the last one": {
-			[]response[Declared]{{value: Declared{Config: config(4)}}, {value: Declared{Faults: []error{errors.New("no JSON")}}}}, 4,
+			[]response[Declared]{{value: Declared{Config: config(4)}}, {value: Declared{Errors: []error{errors.New("no JSON")}}}}, 4,
 		},
 		"an outage of the store keeps the last one": {
 			[]response[Declared]{{value: Declared{Config: config(4)}}, {err: errors.New("away")}, {err: errors.New("away")}}, 4,
@@ -133,32 +133,32 @@
 	}{
 		"present": {changes: []Servers{{Present: []contract.Server{server}}}, listed: true},
 		"gone counts as missing at first": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Gone: []string{"a"}}}, after: time.Second, listed: true, missing: true,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, after: time.Second, listed: true, missing: true,
 		},
 		"gone is gone after the grace": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Gone: []string{"a"}}}, after: 2 * time.Second,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, after: 2 * time.Second,
 		},
 		"gone after an outage has a longer grace": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Gone: []string{"a"}}}, away: true, after: 2 * time.Second,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, away: true, after: 2 * time.Second,
 			listed: true, missing: true,
 		},
 		"gone after an outage is gone after the longer grace": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Gone: []string{"a"}}}, away: true, after: 3 * time.Second,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, away: true, after: 3 * time.Second,
 		},
 		"an undecodable entry is gone at once": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Unread: []string{"a"}, Faults: []error{errors.New("no JSON")}}},
+			changes: []Servers{{Present: []contract.Server{server}}, {Unreadable: []string{"a"}, Errors: []error{errors.New("no JSON")}}},
 			after:   time.Millisecond,
 		},
 		"a decodable entry after an undecodable one is present": {
 			changes: []Servers{
 				{Present: []contract.Server{server}},
-				{Unread: []string{"a"}, Faults: []error{errors.New("no JSON")}},
+				{Unreadable: []string{"a"}, Errors: []error{errors.New("no JSON")}},
 				{Present: []contract.Server{server}},
 			},
 			after: time.Millisecond, listed: true,
 		},
 		"listed again is present": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Gone: []string{"a"}}, {Present: []contract.Server{server}}},
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}, {Present: []contract.Server{server}}},
 			after:   time.Second, listed: true,
 		},
 	} {
@@ -176,8 +176,8 @@
 				if (len(servers) == 1) != test.listed {
 					t.Fatalf("%d servers, want listed %t", len(servers), test.listed)
 				}
-				if test.listed && servers[0].Missing.IsZero() == test.missing {
-					t.Errorf("missing since %s, want missing: %t", servers[0].Missing, test.missing)
+				if test.listed && servers[0].MissingSince.IsZero() == test.missing {
+					t.Errorf("missing since %s, want missing: %t", servers[0].MissingSince, test.missing)
 				}
 			})
 		})
@@ -194,12 +194,12 @@
 		s.declared <- response[Declared]{value: Declared{Targets: []contract.Target{{Model: "m", Version: 3}}}}
 		synctest.Wait()
 		for version, want := range map[contract.Version]time.Duration{1: 8 * time.Second, 2: 11 * time.Second} {
-			due, ok := v.Due("m", version)
+			due, ok := v.VersionDeadline("m", version)
 			if !ok || due.Sub(start).Round(time.Millisecond) != want {
 				t.Errorf("deadline of version %d after %s, want %s", version, due.Sub(start), want)
 			}
 		}
-		if _, ok := v.Due("m", 3); ok {
+		if _, ok := v.VersionDeadline("m", 3); ok {
 			t.Error("the newest version has a deadline")
 		}
 		if version, _ := v.Target("m"); version != 3 {
@@ -224,7 +224,7 @@
 	runFollowing(t, func(t *testing.T, v *View, s *fakeSource) {
 		s.servers <- response[Servers]{value: Servers{Present: []contract.Server{{ID: "a"}, {ID: "b"}}}}
 		s.servers <- response[Servers]{err: &HistoryGoneError{}}
-		s.servers <- response[Servers]{value: Servers{Present: []contract.Server{{ID: "b"}}, Unread: []string{"a"}}}
+		s.servers <- response[Servers]{value: Servers{Present: []contract.Server{{ID: "b"}}, Unreadable: []string{"a"}}}
 		time.Sleep(time.Millisecond)
 		if servers := v.Servers(); len(servers) != 1 || servers[0].ID != "b" {
 			t.Errorf("%v are listed, want only the server with a decodable entry", servers)
@@ -237,13 +237,13 @@
 		size int
 		want time.Duration
 	}{
-		"unknown size":      {0, DefaultSettle},
+		"unknown size":      {0, DefaultCoalesceDelay},
 		"small change":      {maxReadRate / 128, time.Second / 128},
 		"large change":      {maxReadRate / 4, 250 * time.Millisecond},
-		"very large change": {maxReadRate * 9, DefaultSettle},
+		"very large change": {maxReadRate * 9, DefaultCoalesceDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := coalesceDelay(test.size, DefaultSettle); got != test.want {
+			if got := coalesceDelay(test.size, DefaultCoalesceDelay); got != test.want {
 				t.Errorf("delay %s, want %s", got, test.want)
 			}
 		})
@@ -269,7 +269,7 @@
 		"newer server at an address":  {[]Servers{present(server("a", "h:1")), present(server("b", "h:1"))}, []string{"b"}},
 		"written later in one list":   {[]Servers{present(server("a", "h:1"), server("b", "h:1"))}, []string{"b"}},
 		"late heartbeat of the older": {[]Servers{present(server("a", "h:1")), present(server("b", "h:1")), present(server("a", "h:1"))}, []string{"b"}},
-		"the newer one is gone":       {[]Servers{present(server("a", "h:1")), present(server("b", "h:1")), {Gone: []string{"b"}}}, []string{"a", "b"}},
+		"the newer one is gone":       {[]Servers{present(server("a", "h:1")), present(server("b", "h:1")), {Removed: []string{"b"}}}, []string{"a", "b"}},
 		"third server at an address":  {[]Servers{present(server("a", "h:1")), present(server("b", "h:1")), present(server("c", "h:1"))}, []string{"c"}},
 		"restarted at its address": {[]Servers{
 			present(server("a", "h:1")), present(server("b", "h:1")), present(born(server("a", "h:1"), 2)), present(born(server("a", "h:1"), 3)),
@@ -318,7 +318,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Now()
-			v := New(nil, Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}, Drain: test.drain})
+			v := New(nil, Options{Log: &log.Logger{Handler: discard.Default, Level: log.InfoLevel}, DrainTimeout: test.drain})
 			v.servers["a"] = contract.Server{ID: "a"}
 			v.markMissing("a", now)
 			if got := v.missing["a"].until.Sub(now); got != test.want {
@@ -331,13 +331,13 @@
 // TestBoundsComeDuringSuspensions checks that the deadline of an older version does not move when the machine is suspended.
 func TestBoundsComeDuringSuspensions(t *testing.T) {
 	v := New(nil, Options{VersionBound: 8 * time.Second})
-	v.OfferTarget(contract.Target{Model: "m", Version: 1}, time.Minute)
-	v.OfferTarget(contract.Target{Model: "m", Version: 2}, 0)
-	before, _ := v.Due("m", 1)
+	v.ObservePeerTarget(contract.Target{Model: "m", Version: 1}, time.Minute)
+	v.ObservePeerTarget(contract.Target{Model: "m", Version: 2}, 0)
+	before, _ := v.VersionDeadline("m", 1)
 	left := clock.Until(before)
 	clock.Skip(5 * time.Second)
 	t.Cleanup(func() { clock.Skip(-5 * time.Second) })
-	after, older := v.Due("m", 1)
+	after, older := v.VersionDeadline("m", 1)
 	if now := clock.Until(after); !older || now > left-5*time.Second {
 		t.Errorf("%s left before a suspension of 5 s, %s after it", left, now)
 	}
