--- a/fill/box.go
+++ b/fill/box.go
@@ -38,7 +38,7 @@
 	Log      log.Interface
 	Listener net.Listener
 	// PeerSource is the view's source fed by entries; nil where the store is read directly.
-	Told *told.Source
+	PeerSource *told.Source
 }
 
 // Box brings the server on its machine to the version that should run.
--- a/fill/engine.go
+++ b/fill/engine.go
@@ -19,9 +19,9 @@
 	Waiting int
 	Running int
 	// PinnedTokens is the memory that cannot be reclaimed, in tokens.
-	Used int
+	PinnedTokens int
 	// Slowdown is the factor by which the server is slower than usual.
-	Slow float64
+	Slowdown float64
 	// Pushback is what the server asks of its callers.
 	Pushback pushback.Word
 }
@@ -36,11 +36,11 @@
 // Engine is the server on this machine. ReadPiece returns a NotHeldError for a piece that is not staged.
 type Engine interface {
 	State(ctx context.Context) (State, error)
-	Stage(ctx context.Context, model string, piece int, data []byte) error
-	Staged(ctx context.Context, model string, piece int) ([]byte, error)
-	Held(ctx context.Context, model string) ([]int, error)
+	StagePiece(ctx context.Context, model string, piece int, data []byte) error
+	ReadPiece(ctx context.Context, model string, piece int) ([]byte, error)
+	StagedPieces(ctx context.Context, model string) ([]int, error)
 	// StartLoad sends an order; a RefusedError means that it was not accepted, any other error leaves that open.
-	Start(ctx context.Context, order Order) error
+	StartLoad(ctx context.Context, order Order) error
 }
 
 // Origin serves weights at an address; version 0 asks for the newest manifest.
--- a/fill/fetch.go
+++ b/fill/fetch.go
@@ -124,13 +124,13 @@
 func (b *Box) verifiedPieces(ctx context.Context, m *Manifest) []int {
 	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
-	held, err := b.cfg.Engine.Held(ctx, m.Model)
+	held, err := b.cfg.Engine.StagedPieces(ctx, m.Model)
 	if err != nil {
 		return nil
 	}
 	var have []int
 	for _, piece := range held {
-		data, err := b.cfg.Engine.Staged(ctx, m.Model, piece)
+		data, err := b.cfg.Engine.ReadPiece(ctx, m.Model, piece)
 		if err == nil && m.Matches(piece, data) {
 			have = append(have, piece)
 		}
--- a/fill/fixture_test.go
+++ b/fill/fixture_test.go
@@ -104,7 +104,7 @@
 	return state, nil
 }
 
-func (e *fakeEngine) Stage(_ context.Context, _ string, piece int, data []byte) error {
+func (e *fakeEngine) StagePiece(_ context.Context, _ string, piece int, data []byte) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.pieces == nil {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (e *fakeEngine) Staged(_ context.Context, _ string, piece int) ([]byte, error) {
+func (e *fakeEngine) ReadPiece(_ context.Context, _ string, piece int) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if data, ok := e.pieces[piece]; ok {
@@ -123,7 +123,7 @@
 	return nil, &NotHeldError{}
 }
 
-func (e *fakeEngine) Held(context.Context, string) ([]int, error) {
+func (e *fakeEngine) StagedPieces(context.Context, string) ([]int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var held []int
@@ -133,7 +133,7 @@
 	return held, nil
 }
 
-func (e *fakeEngine) Start(_ context.Context, order Order) error {
+func (e *fakeEngine) StartLoad(_ context.Context, order Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Seq != e.seq {
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -69,7 +69,7 @@
 	b.mu.Unlock()
 	for piece, data := range pieces {
 		ctx, cancel := context.WithTimeout(u.ctx, stageTimeout)
-		err := b.cfg.Engine.Stage(ctx, u.model, piece, data)
+		err := b.cfg.Engine.StagePiece(ctx, u.model, piece, data)
 		cancel()
 		if err != nil {
 			b.mu.Lock()
@@ -151,7 +151,7 @@
 	m := u.manifest
 	bad := 0
 	for piece := range m.Digests {
-		data, err := b.cfg.Engine.Staged(ctx, u.model, piece)
+		data, err := b.cfg.Engine.ReadPiece(ctx, u.model, piece)
 		if err == nil && m.Matches(piece, data) {
 			continue
 		}
@@ -187,7 +187,7 @@
 	b.mu.Lock()
 	u.orderedAt = clock.Now()
 	b.mu.Unlock()
-	err = b.cfg.Engine.Start(ctx, Order{Model: u.model, Version: u.version, Seq: state.Seq})
+	err = b.cfg.Engine.StartLoad(ctx, Order{Model: u.model, Version: u.version, Seq: state.Seq})
 	ordersSent.Inc()
 	fields := log.Fields{
 		"model": u.model, "version": int64(u.version), "seq": state.Seq, "running": state.Running, "waiting": state.Waiting,
--- a/fill/piece.go
+++ b/fill/piece.go
@@ -134,7 +134,7 @@
 	}
 	ctx, cancel := context.WithTimeout(u.ctx, stageTimeout)
 	defer cancel()
-	if err := b.cfg.Engine.Stage(ctx, u.model, piece, data); err != nil {
+	if err := b.cfg.Engine.StagePiece(ctx, u.model, piece, data); err != nil {
 		if u.ctx.Err() == nil {
 			b.log.WithField("piece", piece).WithField("cause", err.Error()).Warn("fill: a piece was not staged")
 		}
@@ -151,5 +151,5 @@
 	if data != nil {
 		return data, nil
 	}
-	return b.cfg.Engine.Staged(ctx, u.model, piece)
+	return b.cfg.Engine.ReadPiece(ctx, u.model, piece)
 }
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -114,7 +114,7 @@
 		return link.Report{}, false
 	}
 	report = link.Report{
-		Server: id, Born: b.state.Born, Running: b.state.Running, Waiting: b.state.Waiting, Used: b.state.Used, Slow: b.state.Slow,
+		Server: id, Born: b.state.Born, Running: b.state.Running, Waiting: b.state.Waiting, Used: b.state.PinnedTokens, Slow: b.state.Slowdown,
 		Closing: b.draining || b.state.Busy,
 		Leaving: b.state.Pushback.Leaving, Limited: b.state.Pushback.Limited, Limit: b.state.Pushback.Limit,
 	}
--- a/fill/restart.go
+++ b/fill/restart.go
@@ -39,7 +39,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
-	held, err := b.cfg.Engine.Held(ctx, u.model)
+	held, err := b.cfg.Engine.StagedPieces(ctx, u.model)
 	if err != nil {
 		return
 	}
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -91,7 +91,7 @@
 	}
 	cfg := Config{Machine: m, View: v, Engine: s.engines[i], Origin: s.origin, Log: logger, Listener: listener}
 	if s.relayed {
-		cfg.Told = told.New(source)
+		cfg.PeerSource = told.New(source)
 	}
 	b := New(cfg)
 	go func() { _ = v.ServeDeclared(ctx) }()
--- a/fill/teller.go
+++ b/fill/teller.go
@@ -15,7 +15,7 @@
 // chooseRelay picks the entry that passes on what the store holds. Entries of this site come first; each box has its own
 // order of entries, to spread the work.
 func (ls *links) chooseRelay() {
-	if ls.box.cfg.Told == nil {
+	if ls.box.cfg.PeerSource == nil {
 		return
 	}
 	ls.mu.Lock()
@@ -35,7 +35,7 @@
 	}
 	if old != nil {
 		old.send(&link.Follow{})
-		ls.box.cfg.Told.Silent()
+		ls.box.cfg.PeerSource.Silent()
 	}
 	if chosen != nil {
 		chosen.send(&link.Follow{Service: ls.box.cfg.Machine.Service})
@@ -76,13 +76,13 @@
 		l.links.mu.Unlock()
 		l.links.chooseRelay()
 	default:
-		l.links.box.cfg.Told.TakeDeclared(m)
+		l.links.box.cfg.PeerSource.TakeDeclared(m)
 	}
 }
 
 // handleServers passes on the list of servers from the relay.
 func (l *inboundLink) handleServers(m *link.Servers) {
 	if l.links.isRelay(l) {
-		l.links.box.cfg.Told.TakeServers(m)
+		l.links.box.cfg.PeerSource.TakeServers(m)
 	}
 }
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -77,7 +77,7 @@
 		return nil, err
 	}
 	return fill.New(fill.Config{
-		Machine: m, View: v, Log: logger, Listener: listener, Told: src.box,
+		Machine: m, View: v, Log: logger, Listener: listener, PeerSource: src.box,
 		Engine: platform.NewEngine(m.UpstreamAt, newClient()), Origin: platform.NewOrigin(newOriginClient()),
 	}), nil
 }
