--- a/fill/teller.go
+++ b/fill/teller.go
@@ -35,7 +35,7 @@
 	}
 	if old != nil {
 		old.send(&link.Follow{})
-		ls.box.cfg.PeerSource.Silent()
+		ls.box.cfg.PeerSource.PeerLost()
 	}
 	if chosen != nil {
 		chosen.send(&link.Follow{Service: ls.box.cfg.Machine.Service})
@@ -76,13 +76,13 @@
 		l.links.mu.Unlock()
 		l.links.chooseRelay()
 	default:
-		l.links.box.cfg.PeerSource.TakeDeclared(m)
+		l.links.box.cfg.PeerSource.ApplyDeclared(m)
 	}
 }
 
 // handleServers passes on the list of servers from the relay.
 func (l *inboundLink) handleServers(m *link.Servers) {
 	if l.links.isRelay(l) {
-		l.links.box.cfg.PeerSource.TakeServers(m)
+		l.links.box.cfg.PeerSource.ApplyServers(m)
 	}
 }
--- a/forward/listpublisher_test.go
+++ b/forward/listpublisher_test.go
@@ -53,7 +53,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.source.TakeServers(msg.(*link.Servers))
+				l.source.ApplyServers(msg.(*link.Servers))
 			}
 			whole, err := l.source.Servers(t.Context())
 			if err != nil {
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -124,7 +124,7 @@
 // serve follows the site's reader until ctx ends, and reads the list itself while there is none.
 func (lr *listReader) serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		lr.entry.cfg.PeerSource.Share(lr.entry.budget.Entries() >= minEntriesForReader)
+		lr.entry.cfg.PeerSource.SetShared(lr.entry.budget.Entries() >= minEntriesForReader)
 		host := lr.currentReader(clock.Now())
 		if host == "" {
 			lr.readFullList()
@@ -141,7 +141,7 @@
 			lr.failedUntil[host] = clock.Now().Add(readerBackoff)
 			lr.mu.Unlock()
 		}
-		lr.entry.cfg.PeerSource.Silent()
+		lr.entry.cfg.PeerSource.PeerLost()
 		lr.entry.log.WithFields(log.Fields{"reader": host, "failed": failed}).Info("entry: the list of servers is read from the store")
 	}
 	return ctx.Err()
@@ -151,13 +151,13 @@
 // that start together, and each entry would take itself for the reader.
 func (lr *listReader) readFullList() {
 	if lr.entry.budget.Entries() >= minEntriesForReader && clock.Since(lr.entry.startedAt) >= startupSettleTime {
-		lr.entry.cfg.PeerSource.ReadWhole()
+		lr.entry.cfg.PeerSource.RequestFullRead()
 	}
 }
 
 // checkInterval returns the time until the reader is determined again.
 func (lr *listReader) checkInterval() time.Duration {
-	if lr.entry.cfg.PeerSource.Starting() {
+	if lr.entry.cfg.PeerSource.AwaitingFullList() {
 		return startupCheckInterval
 	}
 	return readerCheckInterval
@@ -189,7 +189,7 @@
 		timeout.Reset(listTimeout)
 		switch msg := msg.(type) {
 		case *link.Servers:
-			lr.entry.cfg.PeerSource.TakeServers(msg)
+			lr.entry.cfg.PeerSource.ApplyServers(msg)
 		case *link.Ends:
 			lr.entry.cfg.Quarantine.Take(msg.Records)
 		case *link.Declared:
@@ -248,12 +248,12 @@
 // from the store itself: entries that relayed each other's lists would all keep an outdated one.
 func (bl *boxLinks) publishList() {
 	v, source := bl.entry.cfg.View, bl.entry.cfg.PeerSource
-	if source != nil && source.Starting() {
+	if source != nil && source.AwaitingFullList() {
 		// The full list is not known yet: followers would take a partial list for the full one, and would stop following this entry if
 		// told that the store is lost.
 		return
 	}
-	reads := v.Ready() && v.StoreReachable() && (source == nil || !source.Tells()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
+	reads := v.Ready() && v.StoreReachable() && (source == nil || !source.PeerActive()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
 	bl.mu.Lock()
 	defer bl.mu.Unlock()
 	if reads && len(bl.listFollowers) > 0 {
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -100,7 +100,7 @@
 	store := &countingStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
 	store.setServers("1", "2")
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
-	source := told.NewForEntry(view.Hedge(store), ListWait(m.Bounds.Drain))
+	source := told.NewEntrySource(view.Hedge(store), ListWait(m.Bounds.Drain))
 	v := view.New(source, view.Options{Log: logger})
 	links, err := net.Listen("tcp", m.LinkAt(host))
 	if err != nil {
@@ -133,7 +133,7 @@
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		all := true
 		for i, e := range env.entries {
-			all = all && (i == reader || e.cfg.PeerSource.Tells())
+			all = all && (i == reader || e.cfg.PeerSource.PeerActive())
 		}
 		if all {
 			return
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -68,7 +68,7 @@
 	}
 	store := view.Hedge(platformStore)
 	if !r.fedByEntries {
-		source := told.NewForEntry(store, forward.ListWait(m.Bounds.Drain))
+		source := told.NewEntrySource(store, forward.ListWait(m.Bounds.Drain))
 		return view.New(source, opts), sources{entry: source}
 	}
 	source := told.New(store)
--- a/told/source.go
+++ b/told/source.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// NewForEntry returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only the list
+// NewEntrySource returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only the list
 // of servers is relayed between entries; while it is shared, calls wait for maxWait at most, so that a stalled connection is noticed.
-func NewForEntry(store view.Source, maxWait time.Duration) *EntrySource {
+func NewEntrySource(store view.Source, maxWait time.Duration) *EntrySource {
 	return &EntrySource{
 		Source: &Source{
 			store: store, changed: make(chan struct{}), inactiveSince: clock.Now(), fullReadDelay: entryFullReadDelay + rand.N(entryFullReadDelay),
@@ -95,18 +95,18 @@
 	shared  atomic.Bool
 }
 
-// Share sets whether other entries depend on this one for the list of servers. If not, calls may wait longer, which saves billed calls.
-func (s *EntrySource) Share(shared bool) { s.shared.Store(shared) }
+// SetShared sets whether other entries depend on this one for the list of servers. If not, calls may wait longer, which saves billed calls.
+func (s *EntrySource) SetShared(shared bool) { s.shared.Store(shared) }
 
-// Starting reports whether the full list has not been read or received yet.
-func (s *EntrySource) Starting() bool {
+// AwaitingFullList reports whether the full list has not been read or received yet.
+func (s *EntrySource) AwaitingFullList() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.serversKnown || s.partial
 }
 
-// ReadWhole makes the source read the full list now instead of waiting for a peer to send it.
-func (s *EntrySource) ReadWhole() {
+// RequestFullRead makes the source read the full list now instead of waiting for a peer to send it.
+func (s *EntrySource) RequestFullRead() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.fullReadRequested {
@@ -286,7 +286,7 @@
 		s.mu.Unlock()
 		if inactive && !clock.Now().Before(until) {
 			// A successful read is already recorded as delivered, so it must be returned even if a feed has started.
-			if err := s.readStore(ctx, lastRead, read); err == nil || ctx.Err() != nil || !s.Tells() {
+			if err := s.readStore(ctx, lastRead, read); err == nil || ctx.Err() != nil || !s.PeerActive() {
 				return err
 			}
 			continue
@@ -294,7 +294,7 @@
 		if err := waitFor(ctx, changed, until); err != nil {
 			return err
 		}
-		if s.Tells() && !clock.Now().Before(deadline) {
+		if s.PeerActive() && !clock.Now().Before(deadline) {
 			return nil
 		}
 	}
@@ -323,7 +323,7 @@
 		*lastRead = clock.Now()
 	}()
 	go func() {
-		for ctx.Err() == nil && !s.Tells() {
+		for ctx.Err() == nil && !s.PeerActive() {
 			s.mu.Lock()
 			changed := s.changed
 			s.mu.Unlock()
@@ -337,15 +337,15 @@
 	return read(ctx)
 }
 
-// Tells reports whether an entry feeds this source.
-func (s *Source) Tells() bool {
+// PeerActive reports whether an entry feeds this source.
+func (s *Source) PeerActive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inactiveSince.IsZero()
 }
 
-// Silent records that no entry feeds this source any more.
-func (s *Source) Silent() {
+// PeerLost records that no entry feeds this source any more.
+func (s *Source) PeerLost() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inactiveSince.IsZero() {
@@ -355,16 +355,16 @@
 	s.notify()
 }
 
-// TakeDeclared applies the services that an entry sent.
-func (s *Source) TakeDeclared(msg *link.Declared) {
+// ApplyDeclared applies the services that an entry sent.
+func (s *Source) ApplyDeclared(msg *link.Declared) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.declared = contract.NewConfig(msg.Revision, contract.Limits{}, nil, msg.Services, nil)
 	s.notify()
 }
 
-// TakeServers applies servers that an entry sent. The feed starts with a full list; changes before that are ignored.
-func (s *Source) TakeServers(msg *link.Servers) {
+// ApplyServers applies servers that an entry sent. The feed starts with a full list; changes before that are ignored.
+func (s *Source) ApplyServers(msg *link.Servers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
--- a/told/source_test.go
+++ b/told/source_test.go
@@ -64,13 +64,13 @@
 func TestTold(t *testing.T) {
 	for name, test := range map[string]func(t *testing.T, store *countingStore, source *Source){
 		"with a feed the store is not called": func(t *testing.T, store *countingStore, source *Source) {
-			source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")})
+			source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")})
 			whole, err := source.Servers(t.Context())
 			if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
 				t.Fatalf("%v, %v", ids(whole.Present), err)
 			}
 			time.AfterFunc(time.Second, func() {
-				source.TakeServers(&link.Servers{Present: serversWithIDs("c"), Gone: []string{"a"}})
+				source.ApplyServers(&link.Servers{Present: serversWithIDs("c"), Gone: []string{"a"}})
 			})
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || !slices.Equal(changes.Removed, []string{"a"}) {
@@ -96,7 +96,7 @@
 				t.Fatal(err)
 			}
 			time.AfterFunc(3*time.Second, func() {
-				source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
+				source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
 			})
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"b"}) || !slices.Equal(changes.Removed, []string{"a"}) {
@@ -107,20 +107,20 @@
 			}
 		},
 		"the full list is read when the feed is lost": func(t *testing.T, _ *countingStore, source *Source) {
-			source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
+			source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
 			whole, err := source.Servers(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.AfterFunc(time.Second, source.Silent)
+			time.AfterFunc(time.Second, source.PeerLost)
 			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"a"}) || !slices.Equal(changes.Removed, []string{"b"}) {
 				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
 		},
 		"a change before the full list is ignored": func(t *testing.T, _ *countingStore, source *Source) {
-			source.TakeServers(&link.Servers{Present: serversWithIDs("c")})
-			if source.Tells() {
+			source.ApplyServers(&link.Servers{Present: serversWithIDs("c")})
+			if source.PeerActive() {
 				t.Error("the feed counts as started")
 			}
 		},
@@ -137,8 +137,8 @@
 func TestToldConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		source := New(&countingStore{})
-		source.TakeServers(&link.Servers{Reset: true})
-		source.TakeDeclared(&link.Declared{Revision: 3, Services: []contract.Service{{Name: "o", Origin: "h:1"}}})
+		source.ApplyServers(&link.Servers{Reset: true})
+		source.ApplyDeclared(&link.Declared{Revision: 3, Services: []contract.Service{{Name: "o", Origin: "h:1"}}})
 		declared, err := source.Declared(t.Context())
 		if err != nil || declared.Config.Revision != 3 || len(declared.Config.Origins()) != 1 {
 			t.Fatalf("%+v, %v", declared, err)
@@ -157,7 +157,7 @@
 }
 
 func (s *feedingStore) Servers(ctx context.Context) (view.Servers, error) {
-	s.source.TakeServers(&link.Servers{Reset: true, Present: s.servers.Present})
+	s.source.ApplyServers(&link.Servers{Reset: true, Present: s.servers.Present})
 	return s.countingStore.Servers(ctx)
 }
 
@@ -166,8 +166,8 @@
 func TestTellingBeginsBesideARead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &feedingStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 1}}}}
-		store.source = NewForEntry(store, time.Second)
-		time.AfterFunc(500*time.Millisecond, func() { store.source.TakeServers(&link.Servers{Present: serversWithIDs("c")}) })
+		store.source = NewEntrySource(store, time.Second)
+		time.AfterFunc(500*time.Millisecond, func() { store.source.ApplyServers(&link.Servers{Present: serversWithIDs("c")}) })
 		whole, err := store.source.Servers(t.Context())
 		if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
 			t.Errorf("full list %v, %v", ids(whole.Present), err)
@@ -191,8 +191,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				source := NewForEntry(&countingStore{servers: view.Servers{Present: serversWithIDs("a")}}, time.Second)
-				source.Share(test.shared)
+				source := NewEntrySource(&countingStore{servers: view.Servers{Present: serversWithIDs("a")}}, time.Second)
+				source.SetShared(test.shared)
 				whole, err := source.Servers(t.Context())
 				if err != nil {
 					t.Fatal(err)
@@ -237,20 +237,20 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 2}}}}
-				source := NewForEntry(store, time.Second)
+				source := NewEntrySource(store, time.Second)
 				began := time.Now()
 				first, err := source.Servers(t.Context())
-				if err != nil || !first.Partial || time.Since(began) > 0 || !source.Starting() {
+				if err != nil || !first.Partial || time.Since(began) > 0 || !source.AwaitingFullList() {
 					t.Fatalf("first %+v, %v after %s", first, err, time.Since(began))
 				}
 				if test.fed > 0 {
-					time.AfterFunc(test.fed, func() { source.TakeServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")}) })
+					time.AfterFunc(test.fed, func() { source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")}) })
 				}
 				if test.requested > 0 {
-					time.AfterFunc(test.requested, source.ReadWhole)
+					time.AfterFunc(test.requested, source.RequestFullRead)
 				}
 				whole, err := source.Servers(t.Context())
-				if err != nil || whole.Partial || !slices.Equal(ids(whole.Present), []string{"a", "b"}) || source.Starting() {
+				if err != nil || whole.Partial || !slices.Equal(ids(whole.Present), []string{"a", "b"}) || source.AwaitingFullList() {
 					t.Errorf("then %+v, %v", whole, err)
 				}
 				if took := time.Since(began); took < test.earliest || took > test.latest || store.reads != test.read || store.partialReads != 1 {
