--- a/box/ended.go
+++ b/box/ended.go
@@ -35,7 +35,7 @@
 func (b *Box) connectionLost(reason string) link.End {
 	end := link.End{Outcome: link.OutcomeUnknown, Reason: reason}
 	if u, err := url.Parse(b.cfg.UpstreamURL); err == nil && probe.Refuses(u.Host) {
-		end.Ended = b.incarnations.endedName(b.cfg.ID, b.cfg.Incarnation, time.Now())
+		end.EndedIncarnation = b.incarnations.endedName(b.cfg.ID, b.cfg.Incarnation, time.Now())
 	}
 	return end
 }
--- a/box/ended_test.go
+++ b/box/ended_test.go
@@ -13,15 +13,15 @@
 		t.Fatal(err)
 	}
 	b := &Box{cfg: Config{ID: "b", Incarnation: "7", UpstreamURL: "http://" + listener.Addr().String()}}
-	if end := b.connectionLost("it broke off"); end.Ended != "" {
-		t.Errorf("%q is reported as ended while the upstream listens", end.Ended)
+	if end := b.connectionLost("it broke off"); end.EndedIncarnation != "" {
+		t.Errorf("%q is reported as ended while the upstream listens", end.EndedIncarnation)
 	}
 	_ = listener.Close()
 	first, second := b.connectionLost("it broke off"), b.connectionLost("it broke off")
-	if first.Ended == "" || first.Ended != second.Ended {
-		t.Errorf("one end is reported as %q and %q", first.Ended, second.Ended)
+	if first.EndedIncarnation == "" || first.EndedIncarnation != second.EndedIncarnation {
+		t.Errorf("one end is reported as %q and %q", first.EndedIncarnation, second.EndedIncarnation)
 	}
-	if later := b.incarnations.endedName("b", "7", time.Now().Add(endWindow)); later == first.Ended {
+	if later := b.incarnations.endedName("b", "7", time.Now().Add(endWindow)); later == first.EndedIncarnation {
 		t.Errorf("two ends are reported as %q", later)
 	}
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -13,7 +13,7 @@
 func exiting(ends *atomic.Int64) responder {
 	return func(b *fakeBox, n int, id uint64) {
 		ends.Add(1)
-		b.send(&link.End{ID: id, Outcome: link.OutcomeUnknown, Reason: "the engine has ended", Ended: fmt.Sprintf("%s#%d", b.member.ID, n)})
+		b.send(&link.End{ID: id, Outcome: link.OutcomeUnknown, Reason: "the engine has ended", EndedIncarnation: fmt.Sprintf("%s#%d", b.member.ID, n)})
 	}
 }
 
--- a/fill/inlink.go
+++ b/fill/inlink.go
@@ -61,7 +61,7 @@
 	case *link.Hello:
 		l.links.setWeight(l, m.Weight)
 	case *link.Target:
-		b.cfg.View.ObservePeerTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
+		b.cfg.View.ObservePeerTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Age)
 	case *link.WantManifest:
 		l.handleWantManifest(m)
 	case *link.Have:
--- a/fill/outlink.go
+++ b/fill/outlink.go
@@ -53,7 +53,7 @@
 		return
 	}
 	if _, named := b.cfg.View.Target(u.model); !named.IsZero() {
-		l.send(&link.Target{Model: u.model, Version: int64(u.version), Ago: clock.Since(named)})
+		l.send(&link.Target{Model: u.model, Version: int64(u.version), Age: clock.Since(named)})
 	}
 	l.join(u)
 }
@@ -85,7 +85,7 @@
 			b.takeManifest(manifest, l.member.ID)
 		}
 	case *link.Target:
-		b.cfg.View.ObservePeerTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Ago)
+		b.cfg.View.ObservePeerTarget(contract.Target{Model: m.Model, Version: contract.Version(m.Version)}, m.Age)
 	case *link.Have:
 		if u := b.updateByKey(m.Manifest); u != nil {
 			b.mu.Lock()
@@ -107,7 +107,7 @@
 		piecesDuplicate.Inc()
 		return
 	}
-	if err := b.acceptPiece(u, int(m.Chunk), l.member.ID, m.Waited, m.Body); err != nil {
+	if err := b.acceptPiece(u, int(m.Chunk), l.member.ID, m.QueuedFor, m.Body); err != nil {
 		l.failed(m.Manifest, int(m.Chunk))
 		return
 	}
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -71,7 +71,7 @@
 
 // urgent reports whether entries need a change at once.
 func urgent(report, last link.Report) bool {
-	return report.Closing != last.Closing || report.Filled != last.Filled || report.Leaving != last.Leaving || report.Limited != last.Limited ||
+	return report.Closing != last.Closing || report.HasAllPieces != last.HasAllPieces || report.Leaving != last.Leaving || report.Limited != last.Limited ||
 		report.Version != last.Version || report.Server != last.Server || report.Born != last.Born
 }
 
@@ -114,19 +114,19 @@
 		return link.Report{}, false
 	}
 	report = link.Report{
-		Server: id, Born: b.state.Born, Running: b.state.Running, Waiting: b.state.Waiting, Used: b.state.PinnedTokens, Slow: b.state.Slowdown,
+		Server: id, Born: b.state.Born, Running: b.state.Running, Waiting: b.state.Waiting, Used: b.state.PinnedTokens, Slowdown: b.state.Slowdown,
 		Closing: b.draining || b.state.Busy,
 		Leaving: b.state.Pushback.Leaving, Limited: b.state.Pushback.Limited, Limit: b.state.Pushback.Limit,
 	}
-	report.Entries, report.Standing = b.links.entries()
+	report.Entries, report.EntryWeight = b.links.entries()
 	if !b.loadAt.IsZero() {
-		report.Closes = reportedTurn(clock.Until(b.loadAt))
+		report.ClosesIn = reportedTurn(clock.Until(b.loadAt))
 	}
 	if cfg := b.cfg.View.Config(); cfg != nil {
 		report.Revision = cfg.Revision
 	}
-	report.Ready = b.timeToReady(clock.Now()).Round(readyResolution)
-	report.Filled = b.pending != nil || b.active != nil && b.active.feed != nil && b.active.feed.Complete()
+	report.ReadyIn = b.timeToReady(clock.Now()).Round(readyResolution)
+	report.HasAllPieces = b.pending != nil || b.active != nil && b.active.feed != nil && b.active.feed.Complete()
 	for model, version := range b.state.Loaded {
 		report.Model, report.Version = model, int64(version)
 	}
--- a/fill/teller.go
+++ b/fill/teller.go
@@ -70,7 +70,7 @@
 func (l *inboundLink) handleDeclared(m *link.Declared) {
 	switch {
 	case !l.links.isRelay(l):
-	case m.Away:
+	case m.StoreLost:
 		l.links.mu.Lock()
 		l.storeLostAt = clock.Now()
 		l.links.mu.Unlock()
--- a/fill/teller_test.go
+++ b/fill/teller_test.go
@@ -55,7 +55,7 @@
 	s.start(0, 1)
 	conn, follows := linkAsEntry(t, s, 0, "entry")
 	wantFollow(t, follows, "s", time.Second)
-	if err := conn.Send(t.Context(), &link.Declared{Away: true}); err != nil {
+	if err := conn.Send(t.Context(), &link.Declared{StoreLost: true}); err != nil {
 		t.Fatal(err)
 	}
 	wantFollow(t, follows, "", time.Second)
--- a/fill/uploader.go
+++ b/fill/uploader.go
@@ -199,8 +199,8 @@
 	defer cancel()
 	waited := up.startUpload(next)
 	defer up.endUpload(next)
-	chunk := &link.Chunk{Manifest: next.key, Chunk: uint32(next.piece), Body: data, Waited: waited}
-	if next.link.conn.Deliver(ctx, chunk) == nil {
+	chunk := &link.Chunk{Manifest: next.key, Chunk: uint32(next.piece), Body: data, QueuedFor: waited}
+	if next.link.conn.SendChunk(ctx, chunk) == nil {
 		pieceBytesUploaded.Add(len(data))
 	}
 	return true
--- a/forward/boxlinks.go
+++ b/forward/boxlinks.go
@@ -251,7 +251,7 @@
 
 // sendTarget sends a target version. It is dropped if the link is full: the box receives it from other entries too.
 func sendTarget(conn *link.Conn, target view.ObservedTarget) {
-	_ = trySend(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Ago: clock.Since(target.At)})
+	_ = trySend(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Age: clock.Since(target.At)})
 }
 
 // trySend queues a message and reports whether the link had room.
@@ -267,7 +267,7 @@
 	if l := bl.links[address]; l != nil {
 		l.server = report.Server
 	}
-	count := entryCount{connected: report.Entries, weighted: report.Standing}
+	count := entryCount{connected: report.Entries, weighted: report.EntryWeight}
 	if bl.entryCounts[address] == count {
 		return
 	}
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -73,7 +73,7 @@
 			return nil
 		}
 		f.sentAway, f.services, f.servers = true, nil, nil
-		return []link.Message{&link.Declared{Away: true}}
+		return []link.Message{&link.Declared{StoreLost: true}}
 	}
 	f.sentAway = false
 	var msgs []link.Message
--- a/forward/followers_test.go
+++ b/forward/followers_test.go
@@ -64,7 +64,7 @@
 	for _, msg := range msgs {
 		switch m := msg.(type) {
 		case *link.Declared:
-			if m.Away {
+			if m.StoreLost {
 				texts = append(texts, "away")
 			} else {
 				texts = append(texts, fmt.Sprintf("services %d", len(m.Services)))
--- a/forward/move_test.go
+++ b/forward/move_test.go
@@ -80,7 +80,7 @@
 					asked = 1
 				}
 				w.reportClosing(asked, true)
-				w.applyReport(1-asked, link.Report{Closing: test.alone, Closes: test.closes})
+				w.applyReport(1-asked, link.Report{Closing: test.alone, ClosesIn: test.closes})
 				if test.opens > 0 {
 					time.AfterFunc(test.opens, func() { w.reportClosing(1-asked, false) })
 				}
--- a/forward/overdue_test.go
+++ b/forward/overdue_test.go
@@ -31,8 +31,8 @@
 	both := firstThen(waiting, streamEvents("b", 6, writeLastChunk))
 	one, two := newFakeServer(t, both), newFakeServer(t, both)
 	w := newModelTestEnv(t, one.address, two.address)
-	w.applyReport(0, link.Report{Filled: true})
-	w.applyReport(1, link.Report{Filled: true})
+	w.applyReport(0, link.Report{HasAllPieces: true})
+	w.applyReport(1, link.Report{HasAllPieces: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
 	deadline := time.Now().Add(untilDeadline)
 	w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
@@ -73,8 +73,8 @@
 	}
 	one, two := newFakeServer(t, answer), newFakeServer(t, answer)
 	w := newModelTestEnv(t, one.address, two.address)
-	w.applyReport(0, link.Report{Filled: true})
-	w.applyReport(1, link.Report{Filled: true})
+	w.applyReport(0, link.Report{HasAllPieces: true})
+	w.applyReport(1, link.Report{HasAllPieces: true})
 	const untilDeadline = dispatchMargin + 100*time.Millisecond
 	w.entry.cfg.View.ObservePeerTarget(contract.Target{Model: testModel, Version: 2}, -untilDeadline)
 	time.AfterFunc(300*time.Millisecond, func() {
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -65,10 +65,10 @@
 }
 
 // apply records the requests that another entry refused.
-func (pn *peerNotifier) apply(msg *link.Refused) {
+func (pn *peerNotifier) apply(msg *link.RefusedRequests) {
 	now := clock.Now()
 	for _, r := range msg.Refusals {
-		pn.entry.returns.Note(admission.Refusal{Print: r.Print, First: now.Add(-r.Ago), Ends: now.Add(r.Left)}, now)
+		pn.entry.returns.Note(admission.Refusal{Print: r.Fingerprint, First: now.Add(-r.Age), Ends: now.Add(r.Remaining)}, now)
 	}
 }
 
@@ -100,9 +100,9 @@
 	pn.pending = nil
 	pn.mu.Unlock()
 	now := clock.Now()
-	msg := &link.Refused{Refusals: make([]link.Refusal, len(refusals))}
+	msg := &link.RefusedRequests{Refusals: make([]link.Refusal, len(refusals))}
 	for i, r := range refusals {
-		msg.Refusals[i] = link.Refusal{Print: r.Print, Ago: now.Sub(r.First), Left: r.Ends.Sub(now)}
+		msg.Refusals[i] = link.Refusal{Fingerprint: r.Print, Age: now.Sub(r.First), Remaining: r.Ends.Sub(now)}
 	}
 	for _, host := range pn.entry.reader.peerHosts() {
 		pn.notifyPeer(ctx, host, msg)
@@ -110,7 +110,7 @@
 }
 
 // notifyPeer sends a message to one entry; an entry that misses it takes retries for first tries.
-func (pn *peerNotifier) notifyPeer(ctx context.Context, host string, msg *link.Refused) {
+func (pn *peerNotifier) notifyPeer(ctx context.Context, host string, msg *link.RefusedRequests) {
 	l := pn.links[host]
 	if l == nil {
 		l = &peerLink{}
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -190,7 +190,7 @@
 		switch msg := msg.(type) {
 		case *link.Servers:
 			lr.entry.cfg.PeerSource.ApplyServers(msg)
-		case *link.Ends:
+		case *link.QuarantineRecords:
 			lr.entry.cfg.Quarantine.Take(msg.Records)
 		case *link.Declared:
 			return true
@@ -225,7 +225,7 @@
 			if msg.List {
 				bl.addListFollower(conn)
 			}
-		case *link.Refused:
+		case *link.RefusedRequests:
 			lr.entry.peers.apply(msg)
 		}
 	}
@@ -261,7 +261,7 @@
 	}
 	for conn, f := range bl.listFollowers {
 		if !reads {
-			trySend(conn, &link.Declared{Away: true})
+			trySend(conn, &link.Declared{StoreLost: true})
 			delete(bl.listFollowers, conn)
 		} else if !bl.publishListTo(conn, f, clock.Now()) {
 			delete(bl.listFollowers, conn)
@@ -281,7 +281,7 @@
 
 // endsUpdate returns the quarantine records not yet sent to the entry; nil if there are none.
 func (f *listFollower) endsUpdate(q *quarantine.Quarantine) link.Message {
-	msg := &link.Ends{Reset: f.sentEnds == nil}
+	msg := &link.QuarantineRecords{Reset: f.sentEnds == nil}
 	if msg.Reset {
 		f.sentEnds = make(map[string]int)
 	}
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -66,8 +66,8 @@
 	var times []time.Duration
 	for _, up := range e.upstreams.preferred(service) {
 		up.mu.Lock()
-		if age := now.Sub(up.reportAt); age < reportTTL && up.report.Ready > 0 {
-			times = append(times, max(up.report.Ready-age, 0))
+		if age := now.Sub(up.reportAt); age < reportTTL && up.report.ReadyIn > 0 {
+			times = append(times, max(up.report.ReadyIn-age, 0))
 		}
 		up.mu.Unlock()
 	}
--- a/forward/retryafter_test.go
+++ b/forward/retryafter_test.go
@@ -12,7 +12,7 @@
 func TestRetryAfterFollowsReadiness(t *testing.T) {
 	w := newModelTestEnv(t, "127.0.0.1:1", "127.0.0.1:2")
 	for i := range 2 {
-		w.entry.upstreams.applyReport(link.Report{Server: serverName(i), Ready: 5 * time.Second}, time.Now())
+		w.entry.upstreams.applyReport(link.Report{Server: serverName(i), ReadyIn: 5 * time.Second}, time.Now())
 	}
 	got := w.ask(http.MethodPost, "/stream/a", "x", nil)
 	after := got.header.Get("Retry-After")
--- a/forward/rtt_test.go
+++ b/forward/rtt_test.go
@@ -40,7 +40,7 @@
 			due, _ := w.entry.cfg.View.VersionDeadline(testModel, 1)
 			up := w.entry.upstreams.byServer(serverName(0))
 			now := due.Add(-1500 * time.Millisecond)
-			up.reportAt, up.report.Filled, up.rtt = now, test.filled, test.way(now)
+			up.reportAt, up.report.HasAllPieces, up.rtt = now, test.filled, test.way(now)
 			if got := w.entry.missesVersionDeadline(up, testModel, choice{version: 1}, now); got != test.overdue {
 				t.Errorf("overdue %t, want %t", got, test.overdue)
 			}
--- a/forward/subset_test.go
+++ b/forward/subset_test.go
@@ -110,9 +110,9 @@
 		reports []link.Report
 		want    int
 	}{
-		"all entries at all boxes":     {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 5, Standing: 5}}, 5},
-		"a box that has just started":  {[]link.Report{{Entries: 5, Standing: 5}, {Entries: 1, Standing: 1}}, 5},
-		"some entries at each box":     {[]link.Report{{Entries: 9, Standing: 40}, {Entries: 11, Standing: 66}}, 53},
+		"all entries at all boxes":     {[]link.Report{{Entries: 5, EntryWeight: 5}, {Entries: 5, EntryWeight: 5}}, 5},
+		"a box that has just started":  {[]link.Report{{Entries: 5, EntryWeight: 5}, {Entries: 1, EntryWeight: 1}}, 5},
+		"some entries at each box":     {[]link.Report{{Entries: 9, EntryWeight: 40}, {Entries: 11, EntryWeight: 66}}, 53},
 		"boxes that report no weights": {[]link.Report{{Entries: 5}, {Entries: 4}}, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -204,7 +204,7 @@
 		load.Writing += u.othersWriting
 		load.Reading += u.othersReading
 		load.Unread += u.othersReading * e.UsualPrompt
-		load.Slow = u.report.Slow
+		load.Slow = u.report.Slowdown
 	}
 	return load
 }
@@ -224,7 +224,7 @@
 
 // filled reports whether the server's box holds all pieces of the target version; mu is held.
 func (u *upstream) filled(now time.Time) bool {
-	return u.report.Filled && now.Sub(u.reportAt) < reportTTL
+	return u.report.HasAllPieces && now.Sub(u.reportAt) < reportTTL
 }
 
 // reportDelay returns by how much reports are overdue. It is added to the server's cost, since the link may be
@@ -263,10 +263,10 @@
 // closesIn returns the time until the server takes no new requests, unknownTurn if its box has not reported it; mu is
 // held.
 func (u *upstream) closesIn(now time.Time) time.Duration {
-	if u.report.Closes == 0 || now.Sub(u.reportAt) > reportTTL {
+	if u.report.ClosesIn == 0 || now.Sub(u.reportAt) > reportTTL {
 		return unknownTurn
 	}
-	return u.report.Closes - now.Sub(u.reportAt)
+	return u.report.ClosesIn - now.Sub(u.reportAt)
 }
 
 // recordFailure counts a failure and returns the length of the ejection that it causes, 0 for none.
--- a/link/conn.go
+++ b/link/conn.go
@@ -141,8 +141,8 @@
 	return enqueue(ctx, c, c.urgent, data)
 }
 
-// Deliver sends a chunk and waits until it is written, so that the sender can choose the next chunk as late as possible.
-func (c *Conn) Deliver(ctx context.Context, chunk *Chunk) error {
+// SendChunk sends a chunk and waits until it is written, so that the sender can choose the next chunk as late as possible.
+func (c *Conn) SendChunk(ctx context.Context, chunk *Chunk) error {
 	data, err := Encode(chunk)
 	if err != nil {
 		return err
--- a/link/daemon.go
+++ b/link/daemon.go
@@ -69,27 +69,27 @@
 }
 
 // Report carries the state of a box's upstream to entries: the loaded Model and Version, its Running and Waiting requests, whether it is
-// Closing (refuses new requests for a short time), by which factor it is Slow, and how many Entries receive the report.
+// Closing (refuses new requests for a short time), by which factor it is slower (Slowdown), and how many Entries receive the report.
 type Report struct {
-	Server  string  `cbor:"1,keyasint"`
-	Model   string  `cbor:"2,keyasint,omitempty"`
-	Version int64   `cbor:"3,keyasint,omitempty"`
-	Running int     `cbor:"4,keyasint,omitempty"`
-	Waiting int     `cbor:"5,keyasint,omitempty"`
-	Used    int     `cbor:"6,keyasint,omitempty"`
-	Closing bool    `cbor:"7,keyasint,omitempty"`
-	Slow    float64 `cbor:"8,keyasint,omitempty"`
-	Entries int     `cbor:"9,keyasint,omitempty"`
-	// Closes is the time until the server refuses new requests, 0 if unknown.
-	Closes time.Duration `cbor:"10,keyasint,omitempty"`
-	// Filled says that the box has all pieces of the target version.
-	Filled bool `cbor:"11,keyasint,omitempty"`
-	// Ready is the expected time until the server runs the target version; 0 if it does, or if unknown.
-	Ready time.Duration `cbor:"12,keyasint,omitempty"`
+	Server   string  `cbor:"1,keyasint"`
+	Model    string  `cbor:"2,keyasint,omitempty"`
+	Version  int64   `cbor:"3,keyasint,omitempty"`
+	Running  int     `cbor:"4,keyasint,omitempty"`
+	Waiting  int     `cbor:"5,keyasint,omitempty"`
+	Used     int     `cbor:"6,keyasint,omitempty"`
+	Closing  bool    `cbor:"7,keyasint,omitempty"`
+	Slowdown float64 `cbor:"8,keyasint,omitempty"`
+	Entries  int     `cbor:"9,keyasint,omitempty"`
+	// ClosesIn is the time until the server refuses new requests, 0 if unknown.
+	ClosesIn time.Duration `cbor:"10,keyasint,omitempty"`
+	// HasAllPieces says that the box has all pieces of the target version.
+	HasAllPieces bool `cbor:"11,keyasint,omitempty"`
+	// ReadyIn is the expected time until the server runs the target version; 0 if it does, or if unknown.
+	ReadyIn time.Duration `cbor:"12,keyasint,omitempty"`
 	// Born is the start time of the server's incarnation, in Unix milliseconds by its own clock; 0 if unknown.
 	Born int64 `cbor:"13,keyasint,omitempty"`
-	// Standing is the sum of the weights of the entries that receive the report; it varies by box, but its mean does not.
-	Standing float64 `cbor:"14,keyasint,omitempty"`
+	// EntryWeight is the sum of the weights of the entries that receive the report; it varies by box, but its mean does not.
+	EntryWeight float64 `cbor:"14,keyasint,omitempty"`
 	// Revision is the newest configuration revision that the box knows.
 	Revision contract.Revision `cbor:"15,keyasint,omitempty"`
 	// Leaving, Limited and Limit are the pushback signals in the server's response headers to the box.
@@ -102,7 +102,7 @@
 type Target struct {
 	Model   string        `cbor:"1,keyasint"`
 	Version int64         `cbor:"2,keyasint"`
-	Ago     time.Duration `cbor:"3,keyasint"`
+	Age     time.Duration `cbor:"3,keyasint"`
 }
 
 // Kind returns KindHello.
--- a/link/follow.go
+++ b/link/follow.go
@@ -20,9 +20,9 @@
 // Declared carries the services of a configuration that a box needs: its own and the origins. Away says that the entry has lost the
 // store and ends its feed, so that the box must follow another entry.
 type Declared struct {
-	Revision contract.Revision  `cbor:"1,keyasint,omitempty"`
-	Services []contract.Service `cbor:"2,keyasint,omitempty"`
-	Away     bool               `cbor:"3,keyasint,omitempty"`
+	Revision  contract.Revision  `cbor:"1,keyasint,omitempty"`
+	Services  []contract.Service `cbor:"2,keyasint,omitempty"`
+	StoreLost bool               `cbor:"3,keyasint,omitempty"`
 }
 
 // Servers carries the listed servers to a follower: all of them if Reset, otherwise those that changed or are gone.
@@ -32,15 +32,15 @@
 	Gone    []string          `cbor:"3,keyasint,omitempty"`
 }
 
-// Ends relays the quarantine records of server exits and of the requests in progress: all of them if Reset, otherwise what changed or
+// QuarantineRecords relays the quarantine records of server exits and of the requests in progress: all of them if Reset, otherwise what changed or
 // is gone.
-type Ends struct {
+type QuarantineRecords struct {
 	Reset   bool               `cbor:"1,keyasint,omitempty"`
 	Records quarantine.Records `cbor:"2,keyasint"`
 }
 
-// Kind returns KindEnds.
-func (*Ends) Kind() Kind { return KindEnds }
+// Kind returns KindQuarantineRecords.
+func (*QuarantineRecords) Kind() Kind { return KindQuarantineRecords }
 
 // Kind returns KindFollow.
 func (*Follow) Kind() Kind { return KindFollow }
--- a/link/frame_test.go
+++ b/link/frame_test.go
@@ -19,20 +19,20 @@
 		"head":      &Head{ID: 1, Status: 200, Version: "v", Digest: "d"},
 		"data":      &Data{ID: 1, Body: []byte("y")},
 		"end":       &End{ID: 1, Outcome: OutcomeRan, Load: 3},
-		"have":      &Have{Manifest: 7, Reset: true, Chunks: []uint32{1, 2}, Queue: 1, Given: 2},
+		"have":      &Have{Manifest: 7, Reset: true, Chunks: []uint32{1, 2}, Queue: 1, Sent: 2},
 		"want":      &Want{Manifest: 7, Chunk: 3},
 		"chunk":     &Chunk{Manifest: 7, Chunk: 3, Body: []byte("z")},
 		"decline":   &Decline{Manifest: 7, Chunk: 3},
 		"report": &Report{
-			Server: "s", Model: "m", Version: 2, Running: 3, Waiting: 1, Used: 9, Closing: true, Slow: 1.5, Entries: 5,
-			Closes: time.Second, Filled: true,
+			Server: "s", Model: "m", Version: 2, Running: 3, Waiting: 1, Used: 9, Closing: true, Slowdown: 1.5, Entries: 5,
+			ClosesIn: time.Second, HasAllPieces: true,
 		},
-		"queued chunk":    &Chunk{Manifest: 7, Chunk: 3, Body: []byte("z"), Waited: time.Second},
+		"queued chunk":    &Chunk{Manifest: 7, Chunk: 3, Body: []byte("z"), QueuedFor: time.Second},
 		"want manifest":   &WantManifest{Model: "m", Version: 2},
 		"manifest":        &Manifest{Model: "m", Version: 2, Size: 8, Digests: []byte("d")},
 		"entries":         &Entries{Hosts: []string{"10.0.0.1"}},
 		"follow the list": &Follow{List: true},
-		"target":          &Target{Model: "m", Version: 2, Ago: time.Second},
+		"target":          &Target{Model: "m", Version: 2, Age: time.Second},
 	}
 }
 
--- a/link/request.go
+++ b/link/request.go
@@ -41,15 +41,15 @@
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// End ends a response with its outcome; Load is the number of the box's requests in progress, Ended the upstream's incarnation if it
+// End ends a response with its outcome; Load is the number of the box's requests in progress, EndedIncarnation the upstream's incarnation if it
 // exited during the request.
 type End struct {
-	ID      uint64  `cbor:"1,keyasint"`
-	Outcome Outcome `cbor:"2,keyasint"`
-	Reason  string  `cbor:"3,keyasint,omitempty"`
-	Digest  string  `cbor:"4,keyasint,omitempty"`
-	Load    int     `cbor:"5,keyasint,omitempty"`
-	Ended   string  `cbor:"6,keyasint,omitempty"`
+	ID               uint64  `cbor:"1,keyasint"`
+	Outcome          Outcome `cbor:"2,keyasint"`
+	Reason           string  `cbor:"3,keyasint,omitempty"`
+	Digest           string  `cbor:"4,keyasint,omitempty"`
+	Load             int     `cbor:"5,keyasint,omitempty"`
+	EndedIncarnation string  `cbor:"6,keyasint,omitempty"`
 }
 
 // Outcome is the outcome of a request.
--- a/link/weights.go
+++ b/link/weights.go
@@ -6,13 +6,13 @@
 // verified against the full digest.
 
 // Have lists the chunks of a manifest that the sender has: all of them if Reset, otherwise those new since its last message. Queue is
-// the number of requests queued at the sender, Given the number of chunks that it has sent.
+// the number of requests queued at the sender, Sent the number of chunks that it has sent.
 type Have struct {
 	Manifest uint64   `cbor:"1,keyasint"`
 	Reset    bool     `cbor:"2,keyasint,omitempty"`
 	Chunks   []uint32 `cbor:"3,keyasint,omitempty"`
 	Queue    int      `cbor:"4,keyasint,omitempty"`
-	Given    int      `cbor:"5,keyasint,omitempty"`
+	Sent     int      `cbor:"5,keyasint,omitempty"`
 }
 
 // Want requests one chunk from a peer.
@@ -23,10 +23,10 @@
 
 // Chunk carries one chunk; Waited is how long its request was queued at the sender.
 type Chunk struct {
-	Manifest uint64        `cbor:"1,keyasint"`
-	Chunk    uint32        `cbor:"2,keyasint"`
-	Body     []byte        `cbor:"3,keyasint"`
-	Waited   time.Duration `cbor:"4,keyasint,omitempty"`
+	Manifest  uint64        `cbor:"1,keyasint"`
+	Chunk     uint32        `cbor:"2,keyasint"`
+	Body      []byte        `cbor:"3,keyasint"`
+	QueuedFor time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Decline rejects the request for a chunk.
--- a/transfer/peer.go
+++ b/transfer/peer.go
@@ -181,7 +181,7 @@
 		return
 	}
 	r.node.PeerHas(p.member.ID, m.Reset, m.Chunks, time.Now())
-	r.node.PeerLoad(p.member.ID, m.Queue, m.Given)
+	r.node.PeerLoad(p.member.ID, m.Queue, m.Sent)
 	p.t.wakeUp()
 }
 
@@ -234,7 +234,7 @@
 	if len(p.unannounced) == 0 || p.announcedTarget != target {
 		return
 	}
-	if p.enqueue(&link.Have{Manifest: target, Chunks: p.unannounced, Queue: queued, Given: sent}) {
+	if p.enqueue(&link.Have{Manifest: target, Chunks: p.unannounced, Queue: queued, Sent: sent}) {
 		p.unannounced = nil
 	}
 }
