--- a/engine/model.go
+++ b/engine/model.go
@@ -10,12 +10,12 @@
 // Load is the known load of an engine.
 type Load struct {
 	// Decoding is the number of requests that receive tokens, Prefilling the number that wait for their first.
-	Writing int
-	Reading int
+	Decoding   int
+	Prefilling int
 	// PrefillTokens is the number of prompt tokens of requests that wait for their first token.
-	Unread int
+	PrefillTokens int
 	// Slowdown is the factor by which the engine is slower than usual; 0 and 1 mean as usual.
-	Slow float64
+	Slowdown float64
 }
 
 // Units of an engine's parameters for context tokens and for pairs of tokens.
@@ -24,14 +24,14 @@
 	million  = 1e6
 )
 
-// Step returns the time of one decode step for a number of decoding requests.
-func Step(e *contract.Engine, decoding int) time.Duration {
+// StepTime returns the time of one decode step for a number of decoding requests.
+func StepTime(e *contract.Engine, decoding int) time.Duration {
 	context := float64(decoding*(e.UsualPrompt+e.UsualAnswer/2)) / thousand
 	return e.Step + time.Duration(decoding)*e.PerSequence + time.Duration(context*float64(e.PerContext))
 }
 
-// Read returns the prefill time of a number of prompt tokens, spread evenly over requests.
-func Read(e *contract.Engine, tokens, requests int) time.Duration {
+// PrefillTime returns the prefill time of a number of prompt tokens, spread evenly over requests.
+func PrefillTime(e *contract.Engine, tokens, requests int) time.Duration {
 	if e.ReadRate <= 0 || tokens <= 0 {
 		return 0
 	}
@@ -40,45 +40,45 @@
 	return time.Duration(float64(tokens)/e.ReadRate*float64(time.Second) + pairs*float64(e.PerPairs))
 }
 
-// First returns the time to the first event of a request with a number of prompt tokens at a load.
-func First(e *contract.Engine, load Load, prompt int) time.Duration {
-	tokens := load.Unread + prompt
-	stride := time.Duration(e.Stride) * Step(e, load.Writing+1)
-	first := Read(e, tokens, load.Reading+1)
-	if e.Chunk > 0 && load.Writing > 0 {
+// TimeToFirstEvent returns the time to the first event of a request with a number of prompt tokens at a load.
+func TimeToFirstEvent(e *contract.Engine, load Load, prompt int) time.Duration {
+	tokens := load.PrefillTokens + prompt
+	stride := time.Duration(e.Stride) * StepTime(e, load.Decoding+1)
+	first := PrefillTime(e, tokens, load.Prefilling+1)
+	if e.Chunk > 0 && load.Decoding > 0 {
 		first += time.Duration(math.Ceil(float64(tokens)/float64(e.Chunk))) * stride
 	}
 	first += stride + wait(e, load)
-	if load.Slow > 1 {
-		first = time.Duration(float64(first) * load.Slow)
+	if load.Slowdown > 1 {
+		first = time.Duration(float64(first) * load.Slowdown)
 	}
 	return first
 }
 
 // wait returns the time until a slot is free for one more request.
 func wait(e *contract.Engine, load Load) time.Duration {
-	excess := load.Writing + load.Reading + 1 - e.Slots
+	excess := load.Decoding + load.Prefilling + 1 - e.Slots
 	if excess <= 0 || e.Slots == 0 {
 		return 0
 	}
-	return time.Duration(excess) * Hold(e, load) / time.Duration(e.Slots)
+	return time.Duration(excess) * SlotTime(e, load) / time.Duration(e.Slots)
 }
 
-// Hold returns how long a usual request occupies its slot at a load.
-func Hold(e *contract.Engine, load Load) time.Duration {
-	decoding := min(load.Writing+load.Reading, e.Slots)
-	step := Step(e, decoding)
+// SlotTime returns how long a usual request occupies its slot at a load.
+func SlotTime(e *contract.Engine, load Load) time.Duration {
+	decoding := min(load.Decoding+load.Prefilling, e.Slots)
+	step := StepTime(e, decoding)
 	// The prompt of each slot is prefilled once while an answer is written.
-	return Read(e, e.UsualPrompt*max(decoding, 1), max(decoding, 1)) + time.Duration(e.UsualAnswer)*step
+	return PrefillTime(e, e.UsualPrompt*max(decoding, 1), max(decoding, 1)) + time.Duration(e.UsualAnswer)*step
 }
 
-// Write returns the time to decode a number of tokens after the first at a load; 0 tokens mean the usual number.
-func Write(e *contract.Engine, load Load, tokens int) time.Duration {
+// DecodeTime returns the time to decode a number of tokens after the first at a load; 0 tokens mean the usual number.
+func DecodeTime(e *contract.Engine, load Load, tokens int) time.Duration {
 	if tokens <= 0 {
 		tokens = e.UsualAnswer
 	}
-	decoding := max(load.Writing+load.Reading, 1)
+	decoding := max(load.Decoding+load.Prefilling, 1)
 	// While one request decodes, the prompts of the other slots are prefilled in turn.
-	prefill := Read(e, e.UsualPrompt, 1) * time.Duration(decoding) * time.Duration(tokens) / time.Duration(max(e.UsualAnswer, 1))
-	return time.Duration(tokens)*Step(e, decoding) + prefill
+	prefill := PrefillTime(e, e.UsualPrompt, 1) * time.Duration(decoding) * time.Duration(tokens) / time.Duration(max(e.UsualAnswer, 1))
+	return time.Duration(tokens)*StepTime(e, decoding) + prefill
 }
--- a/engine/model_test.go
+++ b/engine/model_test.go
@@ -19,13 +19,13 @@
 		morePrompt int
 	}{
 		"longer prompt":     {Load{}, Load{}, 100, 3000},
-		"pending prefill":   {Load{}, Load{Reading: 3, Unread: 3000}, 900, 900},
-		"decoding requests": {Load{Unread: 2000}, Load{Unread: 2000, Writing: 10}, 900, 900},
-		"no free slot":      {Load{Writing: 15}, Load{Writing: 16}, 900, 900},
-		"slow engine":       {Load{Writing: 4}, Load{Writing: 4, Slow: 3}, 900, 900},
+		"pending prefill":   {Load{}, Load{Prefilling: 3, PrefillTokens: 3000}, 900, 900},
+		"decoding requests": {Load{PrefillTokens: 2000}, Load{PrefillTokens: 2000, Decoding: 10}, 900, 900},
+		"no free slot":      {Load{Decoding: 15}, Load{Decoding: 16}, 900, 900},
+		"slow engine":       {Load{Decoding: 4}, Load{Decoding: 4, Slowdown: 3}, 900, 900},
 	} {
 		t.Run(name, func(t *testing.T) {
-			less, more := First(testEngine, test.less, test.lessPrompt), First(testEngine, test.more, test.morePrompt)
+			less, more := TimeToFirstEvent(testEngine, test.less, test.lessPrompt), TimeToFirstEvent(testEngine, test.more, test.morePrompt)
 			if less <= 0 || more <= less {
 				t.Errorf("%s is not less than %s", less, more)
 			}
@@ -35,13 +35,13 @@
 
 func TestTimeToFirstEventOfIdleEngine(t *testing.T) {
 	// Prefill and one stride of decode steps, without waiting.
-	if first := First(testEngine, Load{}, 977); first < 90*time.Millisecond || first > 110*time.Millisecond {
+	if first := TimeToFirstEvent(testEngine, Load{}, 977); first < 90*time.Millisecond || first > 110*time.Millisecond {
 		t.Errorf("an idle engine takes %s for its first event", first)
 	}
 }
 
 func TestMissingParameters(t *testing.T) {
-	if first := First(&contract.Engine{}, Load{Writing: 3, Reading: 2, Unread: 100}, 100); first < 0 {
+	if first := TimeToFirstEvent(&contract.Engine{}, Load{Decoding: 3, Prefilling: 2, PrefillTokens: 100}, 100); first < 0 {
 		t.Errorf("an engine without parameters takes %s", first)
 	}
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -242,7 +242,7 @@
 		return choice{}, &NoServerError{Service: c.service.Name, Reason: "none accepts the request now"}
 	}
 	if c.sends+c.refusalCount == 0 && !c.admitted(ch) {
-		return choice{}, &BusyError{Service: c.service.Name, Wait: ch.first, Decoding: ch.load.Writing, Prefilling: ch.load.Reading}
+		return choice{}, &BusyError{Service: c.service.Name, Wait: ch.first, Decoding: ch.load.Decoding, Prefilling: ch.load.Prefilling}
 	}
 	return ch, nil
 }
@@ -261,7 +261,7 @@
 	if c.service.Engine == nil || c.route.Goal <= 0 {
 		return true
 	}
-	own := engine.First(c.service.Engine, ch.load, c.ask.PromptTokens) - engine.First(c.service.Engine, ch.load, 1)
+	own := engine.TimeToFirstEvent(c.service.Engine, ch.load, c.ask.PromptTokens) - engine.TimeToFirstEvent(c.service.Engine, ch.load, 1)
 	return c.entry.admission.Of(c.service.Name).LetIn(c.admissionAsk(), c.sinceFirst, ch.first-own)
 }
 
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -147,16 +147,16 @@
 	}
 	c.load = up.load(want.service.Engine, now)
 	late := up.currentLag(now) + overdueFactor*up.oldestOverdue(now) + up.rtt.delay(now)
-	c.first = engine.First(want.service.Engine, c.load, want.promptTokens) + late
+	c.first = engine.TimeToFirstEvent(want.service.Engine, c.load, want.promptTokens) + late
 	c.closesIn = up.closesIn(now)
 	if e.missesVersionDeadline(up, want.model, *c, now) || c.closesIn < want.minOpen {
 		return false
 	}
 	if want.urgent {
-		c.load.Reading, c.load.Unread = 0, 0
-		c.first = engine.First(want.service.Engine, c.load, want.promptTokens) + late
+		c.load.Prefilling, c.load.PrefillTokens = 0, 0
+		c.first = engine.TimeToFirstEvent(want.service.Engine, c.load, want.promptTokens) + late
 	}
-	c.overrun = max(c.first+engine.Write(want.service.Engine, c.load, want.answerTokens)-c.closesIn, 0)
+	c.overrun = max(c.first+engine.DecodeTime(want.service.Engine, c.load, want.answerTokens)-c.closesIn, 0)
 	return true
 }
 
--- a/forward/leave.go
+++ b/forward/leave.go
@@ -116,7 +116,7 @@
 	if c.ask.MaxAnswerTokens > 0 {
 		tokens = min(tokens, c.ask.MaxAnswerTokens)
 	}
-	duration := leaveFactor*ch.first + engine.Write(model, ch.load, tokens) + leaveMargin
+	duration := leaveFactor*ch.first + engine.DecodeTime(model, ch.load, tokens) + leaveMargin
 	if now.Add(duration).Before(*closes) {
 		return true
 	}
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -82,7 +82,7 @@
 		"id": c.ask.ID, "route": c.route.Name, "team": c.teamName(), "revision": int64(c.config),
 		"outcome": outcome, "status": status, "ms": took.Milliseconds(), "first_ms": c.firstEventAfter.Milliseconds(),
 		"server": c.lastChoice.server.ID, "predicted_ms": c.lastChoice.first.Milliseconds(),
-		"writing": c.lastChoice.load.Writing, "reading": c.lastChoice.load.Reading, "attempts": c.sends + c.refusalCount, "waited_ms": c.sinceFirst.Milliseconds(),
+		"writing": c.lastChoice.load.Decoding, "reading": c.lastChoice.load.Prefilling, "attempts": c.sends + c.refusalCount, "waited_ms": c.sinceFirst.Milliseconds(),
 		"goal_ms": c.route.Goal.Milliseconds(), "report_ms": c.lastChoice.reportAge.Milliseconds(),
 	}
 	if cause != nil {
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -45,7 +45,7 @@
 	if s.servers == 0 {
 		return 0
 	}
-	slotTime := engine.Hold(e, engine.Load{Writing: (s.own + s.others) / s.servers})
+	slotTime := engine.SlotTime(e, engine.Load{Decoding: (s.own + s.others) / s.servers})
 	if slotTime <= 0 {
 		return 0
 	}
@@ -54,7 +54,7 @@
 
 // waitPerRequest returns the wait that one more request adds at an engine.
 func waitPerRequest(e *contract.Engine) time.Duration {
-	return engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, typicalBatch)
+	return engine.PrefillTime(e, e.UsualPrompt, 1) + engine.StepTime(e, typicalBatch)
 }
 
 // pick chooses among servers whose load is known with a delay, and adds to the wait what other entries have probably
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -27,7 +27,7 @@
 	for _, up := range e.upstreams.preferred(service.Name) {
 		up.mu.Lock()
 		if up.version("", now) != 0 && !up.isLeaving() && !up.closing(now) {
-			total := up.availableIn(entries, now) + engine.First(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
+			total := up.availableIn(entries, now) + engine.TimeToFirstEvent(service.Engine, up.load(service.Engine, now), service.Engine.UsualPrompt)
 			if !ok || total < wait {
 				wait, ok = total, true
 			}
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -199,12 +199,12 @@
 
 // load estimates the current load of the server; mu is held.
 func (u *upstream) load(e *contract.Engine, now time.Time) engine.Load {
-	load := engine.Load{Writing: u.inFlight - u.reading, Reading: u.reading, Unread: u.unread}
+	load := engine.Load{Decoding: u.inFlight - u.reading, Prefilling: u.reading, PrefillTokens: u.unread}
 	if now.Sub(u.reportAt) < reportTTL {
-		load.Writing += u.othersWriting
-		load.Reading += u.othersReading
-		load.Unread += u.othersReading * e.UsualPrompt
-		load.Slow = u.report.Slowdown
+		load.Decoding += u.othersWriting
+		load.Prefilling += u.othersReading
+		load.PrefillTokens += u.othersReading * e.UsualPrompt
+		load.Slowdown = u.report.Slowdown
 	}
 	return load
 }
--- a/lab/shortage/engine.go
+++ b/lab/shortage/engine.go
@@ -30,15 +30,15 @@
 	load := engine.Load{}
 	for _, a := range s.slots {
 		if a.prefillTokens > 0 {
-			load.Reading++
-			load.Unread += a.prefillTokens
+			load.Prefilling++
+			load.PrefillTokens += a.prefillTokens
 		} else {
-			load.Writing++
+			load.Decoding++
 		}
 	}
-	load.Reading += len(s.waiting)
+	load.Prefilling += len(s.waiting)
 	for _, a := range s.waiting {
-		load.Unread += a.prefillTokens
+		load.PrefillTokens += a.prefillTokens
 	}
 	return load
 }
@@ -64,7 +64,7 @@
 			first = append(first, a)
 		}
 	}
-	return engine.Read(s.engine, read, 1) + time.Duration(s.engine.Stride)*engine.Step(s.engine, decoding+len(first)), first
+	return engine.PrefillTime(s.engine, read, 1) + time.Duration(s.engine.Stride)*engine.StepTime(s.engine, decoding+len(first)), first
 }
 
 // removeDone removes completed attempts and reports whether any work is left.
--- a/lab/shortage/play.go
+++ b/lab/shortage/play.go
@@ -184,8 +184,8 @@
 func (sim *simulation) place(c *caller) {
 	loads := make([]engine.Load, len(sim.servers))
 	for i, load := range sim.reported {
-		load.Reading += sim.sent[c.entry][i].Reading
-		load.Unread += sim.sent[c.entry][i].Unread
+		load.Prefilling += sim.sent[c.entry][i].Prefilling
+		load.PrefillTokens += sim.sent[c.entry][i].PrefillTokens
 		loads[i] = load
 	}
 	strategy := sim.strategies[c.entry]
@@ -195,8 +195,8 @@
 		return
 	}
 	sent := &sim.sent[c.entry][target.server]
-	sent.Reading++
-	sent.Unread += c.prompt
+	sent.Prefilling++
+	sent.PrefillTokens += c.prompt
 	s := sim.servers[target.server]
 	s.waiting = append(s.waiting, &attempt{caller: c, prefillTokens: c.prompt, answerTokens: c.answer})
 	if !s.working {
--- a/lab/shortage/spread.go
+++ b/lab/shortage/spread.go
@@ -24,12 +24,12 @@
 func (s *spreadChoice) choose(e *contract.Engine, loads []engine.Load, prompt int) placement {
 	costs, total := make([]time.Duration, len(loads)), 0
 	for i, load := range loads {
-		costs[i] = engine.First(e, load, prompt)
-		total += load.Writing + load.Reading
+		costs[i] = engine.TimeToFirstEvent(e, load, prompt)
+		total += load.Decoding + load.Prefilling
 	}
-	slotTime := engine.Hold(e, engine.Load{Writing: total / len(loads)}).Seconds()
+	slotTime := engine.SlotTime(e, engine.Load{Decoding: total / len(loads)}).Seconds()
 	sentWithin := func(window time.Duration) float64 { return 1 + float64(total)*window.Seconds()/slotTime }
-	requestCost := engine.Read(e, e.UsualPrompt, 1) + engine.Step(e, e.Slots/2)
+	requestCost := engine.PrefillTime(e, e.UsualPrompt, 1) + engine.StepTime(e, e.Slots/2)
 	index, others := spread.Pick(costs, spread.Sent{Unseen: sentWithin(reportInterval / 2), Over: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
 	return placement{server: index, load: loads[index], timeToFirst: costs[index] + time.Duration(others/2*float64(requestCost))}
 }
--- a/lab/shortage/way.go
+++ b/lab/shortage/way.go
@@ -18,7 +18,7 @@
 
 // queueDelay returns the time to the first event without the prefill time of the request itself.
 func (p placement) queueDelay(e *contract.Engine, prompt int) time.Duration {
-	return p.timeToFirst - (engine.First(e, p.load, prompt) - engine.First(e, p.load, 1))
+	return p.timeToFirst - (engine.TimeToFirstEvent(e, p.load, prompt) - engine.TimeToFirstEvent(e, p.load, 1))
 }
 
 // Strategy chooses a server for a request and decides on its admission; each entry has its own instance.
@@ -49,7 +49,7 @@
 func (leastInFlight) choose(_ *contract.Engine, loads []engine.Load, _ int) placement {
 	best, fewest := 0, math.MaxInt
 	for i, load := range loads {
-		if n := load.Writing + load.Reading; n < fewest {
+		if n := load.Decoding + load.Prefilling; n < fewest {
 			best, fewest = i, n
 		}
 	}
@@ -57,7 +57,7 @@
 }
 
 func (leastInFlight) admit(e *contract.Engine, _ *caller, p placement, _ time.Duration) bool {
-	return p.load.Writing+p.load.Reading < e.Slots+queueLimit
+	return p.load.Decoding+p.load.Prefilling < e.Slots+queueLimit
 }
 
 // goalBased chooses the server with the earliest first event and admits if the queue delay fits the request's goal.
@@ -69,7 +69,7 @@
 func (goalBased) choose(e *contract.Engine, loads []engine.Load, prompt int) placement {
 	best := placement{timeToFirst: math.MaxInt64}
 	for i, load := range loads {
-		if first := engine.First(e, load, prompt); first < best.timeToFirst {
+		if first := engine.TimeToFirstEvent(e, load, prompt); first < best.timeToFirst {
 			best = placement{server: i, load: load, timeToFirst: first}
 		}
 	}
