--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -32,17 +32,17 @@
 	var lost *relay.LostError
 	if errors.As(err, &lost) && lost.Ended != "" {
 		t.entry.log.WithField("life", lost.Ended).WithField("request", t.req.id).Warn("entry: an upstream ended under a request")
-		t.entry.quarantine.Ended(lost.Ended, []quarantine.Fingerprint{t.req.fingerprint()})
+		t.entry.quarantine.RecordExit(lost.Ended, []quarantine.Fingerprint{t.req.fingerprint()})
 	}
 }
 
 // recordResponse records that the request got a response, if any exits are recorded.
 func (t *task) recordResponse() {
 	if q := t.entry.quarantine; !q.Empty() {
-		q.Answered(t.req.fingerprint())
+		q.RecordResponse(t.req.fingerprint())
 	}
 }
 
 func quarantinedProblem(err *quarantinedError, id string) problem.Problem {
-	return notRun(http.StatusServiceUnavailable, "held", err.Error(), id).WithRetryAfter(quarantine.KeepTime)
+	return notRun(http.StatusServiceUnavailable, "held", err.Error(), id).WithRetryAfter(quarantine.Retention)
 }
--- a/forward/call.go
+++ b/forward/call.go
@@ -302,7 +302,7 @@
 	case c.mayHaveRun:
 		c.refuse(http.StatusBadGateway, "unknown", "no complete response; the request may have run", 0, err)
 	case errors.As(err, new(*QuarantinedError)):
-		c.refuse(http.StatusServiceUnavailable, "held", "servers exited while running this request; it is sent to no more of them", quarantine.KeepTime, err)
+		c.refuse(http.StatusServiceUnavailable, "held", "servers exited while running this request; it is sent to no more of them", quarantine.Retention, err)
 	case errors.Is(err, errLeaving):
 		c.refuse(http.StatusServiceUnavailable, "leaving", "the entry is leaving and could not respond in time", leaveRetryAfter, err)
 	default:
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -82,7 +82,7 @@
 	e.oneShotTransport.DisableKeepAlives = true
 	e.upstreams.subsetWeights, e.upstreams.limitSharers = e.subsetWeights, e.limitSharers
 	e.boxLinks = newBoxLinks(e)
-	e.cfg.Quarantine.OnNews(func(held bool) {
+	e.cfg.Quarantine.OnChange(func(held bool) {
 		if held {
 			e.cancelQuarantined()
 		}
--- a/forward/held.go
+++ b/forward/held.go
@@ -22,7 +22,7 @@
 // to clear.
 func (c *call) recordResponse() {
 	if q := c.entry.cfg.Quarantine; !q.Empty() {
-		q.Answered(c.fingerprint())
+		q.RecordResponse(c.fingerprint())
 	}
 }
 
--- a/forward/held_test.go
+++ b/forward/held_test.go
@@ -99,7 +99,7 @@
 	began := time.Now()
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/deadly", []byte("x"))
 	for _, life := range []string{"1", "2", "3"} {
-		w.entry.cfg.Quarantine.Ended(life, []quarantine.Fingerprint{request})
+		w.entry.cfg.Quarantine.RecordExit(life, []quarantine.Fingerprint{request})
 	}
 	got := <-answered
 	if took := time.Since(began); got.status != http.StatusBadGateway || took > 300*time.Millisecond {
@@ -117,7 +117,7 @@
 	w := newTestEnv(t, false, servers.addresses()...)
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/popular", []byte("x"))
 	for _, life := range []string{"1", "2", "3", "4", "5"} {
-		w.entry.cfg.Quarantine.Ended(life, []quarantine.Fingerprint{request})
+		w.entry.cfg.Quarantine.RecordExit(life, []quarantine.Fingerprint{request})
 		if got := w.ask(http.MethodPost, "/safe/popular", "x", nil); got.status != http.StatusOK {
 			t.Fatalf("status %d after the exit of incarnation %s", got.status, life)
 		}
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -191,7 +191,7 @@
 		case *link.Servers:
 			lr.entry.cfg.PeerSource.ApplyServers(msg)
 		case *link.QuarantineRecords:
-			lr.entry.cfg.Quarantine.Take(msg.Records)
+			lr.entry.cfg.Quarantine.Merge(msg.Records)
 		case *link.Declared:
 			return true
 		}
@@ -286,7 +286,7 @@
 		f.sentEnds = make(map[string]int)
 	}
 	msg.Records = q.Changes(f.sentEnds)
-	if !msg.Reset && msg.Records.Size() == 0 {
+	if !msg.Reset && msg.Records.Len() == 0 {
 		return nil
 	}
 	return msg
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -257,7 +257,7 @@
 	quarantined := func(e *Entry) bool { return e.cfg.Quarantine.Held(func() quarantine.Fingerprint { return request }) }
 	exits := func(incarnations ...string) (records quarantine.Records) {
 		for _, incarnation := range incarnations {
-			records.Ends = append(records.Ends, quarantine.End{Life: incarnation, Entry: "e", Requests: []quarantine.Fingerprint{request}})
+			records.Exits = append(records.Exits, quarantine.Exit{Incarnation: incarnation, Entry: "e", Requests: []quarantine.Fingerprint{request}})
 		}
 		return records
 	}
@@ -275,9 +275,9 @@
 		t.Errorf("request quarantined at all entries: want %t", want)
 	}
 	reader := env.entries[first].cfg.Quarantine
-	reader.Take(exits("1", "2"))
-	reader.Take(exits("3"))
+	reader.Merge(exits("1", "2"))
+	reader.Merge(exits("3"))
 	await(true)
-	reader.Take(quarantine.Records{Gone: []string{exits("3").Ends[0].Key()}})
+	reader.Merge(quarantine.Records{Removed: []string{exits("3").Exits[0].Key()}})
 	await(false)
 }
--- a/forward/serverexit.go
+++ b/forward/serverexit.go
@@ -71,7 +71,7 @@
 		up.recordUnreachable(clock.Now())
 	}
 	if len(requests) > 0 {
-		e.cfg.Quarantine.Ended(incarnation, requests)
+		e.cfg.Quarantine.RecordExit(incarnation, requests)
 	}
 	close(checked)
 	if len(requests) > 0 && up.queueExitLog(requests) {
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -66,7 +66,7 @@
 	return forward.New(forward.Config{
 		Machine: m, View: v, Wire: platform.Wire{}, Log: logger, Callers: callers, Ready: ready, Links: links, PeerSource: src.entry,
 		Quarantine: quarantine.New(quarantine.Options{
-			Entry: m.ID, Store: src.store, Log: logger, Wait: view.PollTimeoutWithin(m.Bounds.Contact), Told: src.entry.PeerActive,
+			Entry: m.ID, Store: src.store, Log: logger, Wait: view.PollTimeoutWithin(m.Bounds.Contact), PeerActive: src.entry.PeerActive,
 		}),
 	}), nil
 }
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -16,10 +16,10 @@
 		for i := range 15 {
 			names = append(names, fmt.Sprint(n, "/", i))
 		}
-		records.Ends = append(records.Ends, newExit(fmt.Sprint(n), "a", names...))
+		records.Exits = append(records.Exits, newExit(fmt.Sprint(n), "a", names...))
 	}
 	l.Merge(records, now)
 	for n := 0; b.Loop(); n++ {
-		l.Merge(Records{Ends: []End{newExit("one", "a", fmt.Sprint(n))}}, now)
+		l.Merge(Records{Exits: []Exit{newExit("one", "a", fmt.Sprint(n))}}, now)
 	}
 }
--- a/quarantine/copy_test.go
+++ b/quarantine/copy_test.go
@@ -12,8 +12,8 @@
 func (s *sharedStore) restore(without func(key string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.exits, func(key string, _ End) bool { return without(key) })
-	maps.DeleteFunc(s.responses, func(key string, _ Answer) bool { return without(key) })
+	maps.DeleteFunc(s.exits, func(key string, _ Exit) bool { return without(key) })
+	maps.DeleteFunc(s.responses, func(key string, _ Response) bool { return without(key) })
 	s.epoch++
 	s.cursor, s.changes = 0, nil
 	close(s.changed)
@@ -83,7 +83,7 @@
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
 		store.update(func() { store.writeDelay = 300 * time.Millisecond })
-		a.Ended("1", []Fingerprint{testPrint("x")})
+		a.RecordExit("1", []Fingerprint{testPrint("x")})
 		time.Sleep(400 * time.Millisecond)
 		store.restore(func(string) bool { return true })
 		time.Sleep(2 * time.Second)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -12,8 +12,8 @@
 // Ledger keeps exit and response records and derives from them which requests are quarantined. The zero value is empty. It is
 // not safe for concurrent use.
 type Ledger struct {
-	exits     map[string]End
-	responses map[string]Answer
+	exits     map[string]Exit
+	responses map[string]Response
 	// learnedAt is when each record was first learned, by its key.
 	learnedAt map[string]time.Time
 	// versions counts the changes of each record, by its key.
@@ -27,23 +27,23 @@
 // Merge merges records and drops removed ones; it reports whether another request was quarantined.
 func (l *Ledger) Merge(records Records, now time.Time) bool {
 	if l.exits == nil {
-		l.exits, l.responses, l.learnedAt = make(map[string]End), make(map[string]Answer), make(map[string]time.Time)
+		l.exits, l.responses, l.learnedAt = make(map[string]Exit), make(map[string]Response), make(map[string]time.Time)
 		l.versions, l.keysByIncarnation, l.incarnations = make(map[string]int), make(map[string][]string), make(map[Fingerprint][]string)
 	}
-	for _, exit := range records.Ends {
+	for _, exit := range records.Exits {
 		old := l.exits[exit.Key()]
 		if l.track(exit.Key(), !slices.Equal(exit.Requests, old.Requests), now) {
 			l.removeExit(old)
 			l.addExit(exit)
 		}
 	}
-	for _, response := range records.Answers {
+	for _, response := range records.Responses {
 		// Entries write the record independently, so both lists are kept.
-		response.Lives = slices.Compact(slices.Sorted(slices.Values(slices.Concat(response.Lives, l.responses[response.Key()].Lives))))
-		l.track(response.Key(), !slices.Equal(response.Lives, l.responses[response.Key()].Lives), now)
+		response.Incarnations = slices.Compact(slices.Sorted(slices.Values(slices.Concat(response.Incarnations, l.responses[response.Key()].Incarnations))))
+		l.track(response.Key(), !slices.Equal(response.Incarnations, l.responses[response.Key()].Incarnations), now)
 		l.responses[response.Key()] = response
 	}
-	for _, key := range records.Gone {
+	for _, key := range records.Removed {
 		l.remove(key)
 	}
 	l.evict()
@@ -53,9 +53,9 @@
 // Replace merges the complete set of records and drops all others; it reports as Merge does.
 func (l *Ledger) Replace(records Records, now time.Time) bool {
 	for _, key := range l.Keys() {
-		if !slices.ContainsFunc(records.Ends, func(e End) bool { return e.Key() == key }) &&
-			!slices.ContainsFunc(records.Answers, func(a Answer) bool { return a.Key() == key }) {
-			records.Gone = append(records.Gone, key)
+		if !slices.ContainsFunc(records.Exits, func(e Exit) bool { return e.Key() == key }) &&
+			!slices.ContainsFunc(records.Responses, func(a Response) bool { return a.Key() == key }) {
+			records.Removed = append(records.Removed, key)
 		}
 	}
 	return l.Merge(records, now)
@@ -72,24 +72,24 @@
 
 // Incarnations returns the server incarnations that exited with a request in flight and are not cleared by a later response.
 func (l *Ledger) Incarnations(request Fingerprint) []string {
-	answered := l.Response(request).Lives
+	answered := l.Response(request).Incarnations
 	return slices.DeleteFunc(slices.Sorted(slices.Values(l.incarnations[request])), func(incarnation string) bool { return slices.Contains(answered, incarnation) })
 }
 
 // Exit returns an entry's record of an incarnation's exit, an empty one if there is none.
-func (l *Ledger) Exit(incarnation, entry string) End {
-	exit, known := l.exits[End{Life: incarnation, Entry: entry}.Key()]
+func (l *Ledger) Exit(incarnation, entry string) Exit {
+	exit, known := l.exits[Exit{Incarnation: incarnation, Entry: entry}.Key()]
 	if !known {
-		return End{Life: incarnation, Entry: entry}
+		return Exit{Incarnation: incarnation, Entry: entry}
 	}
 	return exit
 }
 
 // Response returns a request's response record, an empty one if there is none.
-func (l *Ledger) Response(request Fingerprint) Answer {
-	response, known := l.responses[Answer{Request: request}.Key()]
+func (l *Ledger) Response(request Fingerprint) Response {
+	response, known := l.responses[Response{Request: request}.Key()]
 	if !known {
-		return Answer{Request: request}
+		return Response{Request: request}
 	}
 	return response
 }
@@ -121,34 +121,34 @@
 }
 
 // addExit indexes an exit record by its incarnation and requests.
-func (l *Ledger) addExit(exit End) {
+func (l *Ledger) addExit(exit Exit) {
 	l.exits[exit.Key()] = exit
-	l.keysByIncarnation[exit.Life] = append(l.keysByIncarnation[exit.Life], exit.Key())
+	l.keysByIncarnation[exit.Incarnation] = append(l.keysByIncarnation[exit.Incarnation], exit.Key())
 	for _, request := range exit.Requests {
-		if !slices.Contains(l.incarnations[request], exit.Life) {
-			l.incarnations[request] = append(l.incarnations[request], exit.Life)
+		if !slices.Contains(l.incarnations[request], exit.Incarnation) {
+			l.incarnations[request] = append(l.incarnations[request], exit.Incarnation)
 		}
 	}
 }
 
 // removeExit removes an exit record; other entries' records of the same incarnation stay.
-func (l *Ledger) removeExit(exit End) {
+func (l *Ledger) removeExit(exit Exit) {
 	key := exit.Key()
 	if _, known := l.exits[key]; !known {
 		return
 	}
 	delete(l.exits, key)
-	l.keysByIncarnation[exit.Life] = slices.DeleteFunc(l.keysByIncarnation[exit.Life], func(other string) bool { return other == key })
+	l.keysByIncarnation[exit.Incarnation] = slices.DeleteFunc(l.keysByIncarnation[exit.Incarnation], func(other string) bool { return other == key })
 	for _, request := range exit.Requests {
-		if !slices.ContainsFunc(l.keysByIncarnation[exit.Life], func(other string) bool { return slices.Contains(l.exits[other].Requests, request) }) {
-			l.incarnations[request] = slices.DeleteFunc(l.incarnations[request], func(incarnation string) bool { return incarnation == exit.Life })
+		if !slices.ContainsFunc(l.keysByIncarnation[exit.Incarnation], func(other string) bool { return slices.Contains(l.exits[other].Requests, request) }) {
+			l.incarnations[request] = slices.DeleteFunc(l.incarnations[request], func(incarnation string) bool { return incarnation == exit.Incarnation })
 		}
 		if len(l.incarnations[request]) == 0 {
 			delete(l.incarnations, request)
 		}
 	}
-	if len(l.keysByIncarnation[exit.Life]) == 0 {
-		delete(l.keysByIncarnation, exit.Life)
+	if len(l.keysByIncarnation[exit.Incarnation]) == 0 {
+		delete(l.keysByIncarnation, exit.Incarnation)
 	}
 }
 
@@ -157,7 +157,7 @@
 	var records Records
 	for key := range sent {
 		if _, known := l.versions[key]; !known {
-			records.Gone = append(records.Gone, key)
+			records.Removed = append(records.Removed, key)
 			delete(sent, key)
 		}
 	}
@@ -167,10 +167,10 @@
 		}
 		sent[key] = version
 		if exit, ok := l.exits[key]; ok {
-			records.Ends = append(records.Ends, exit)
+			records.Exits = append(records.Exits, exit)
 		}
 		if response, ok := l.responses[key]; ok {
-			records.Answers = append(records.Answers, response)
+			records.Responses = append(records.Responses, response)
 		}
 	}
 	return records
@@ -233,7 +233,7 @@
 	if _, known := l.learnedAt[key]; !known {
 		return false
 	}
-	return containsAll(l.exits[key].Requests, other.exits[key].Requests) && containsAll(l.responses[key].Lives, other.responses[key].Lives)
+	return containsAll(l.exits[key].Requests, other.exits[key].Requests) && containsAll(l.responses[key].Incarnations, other.responses[key].Incarnations)
 }
 
 // containsAll reports whether all contains every element of some.
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -12,8 +12,8 @@
 func testPrint(name string) Fingerprint { return FingerprintOf("team", "POST", "h", "/"+name, nil) }
 
 // newExit returns the exit record of an incarnation with requests in flight.
-func newExit(incarnation, entry string, requests ...string) End {
-	exit := End{Life: incarnation, Entry: entry}
+func newExit(incarnation, entry string, requests ...string) Exit {
+	exit := Exit{Incarnation: incarnation, Entry: entry}
 	for _, name := range requests {
 		exit.Requests = append(exit.Requests, testPrint(name))
 	}
@@ -28,33 +28,33 @@
 	}{
 		"no exits": {},
 		"two exits": {
-			records: Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "a", "x")}},
+			records: Records{Exits: []Exit{newExit("1", "a", "x"), newExit("2", "a", "x")}},
 		},
 		"three exits at one entry": {
-			records:     Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}},
+			records:     Records{Exits: []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}},
 			quarantined: []string{"x"},
 		},
 		"three exits at three entries": {
-			records:     Records{Ends: []End{newExit("1", "a", "x"), newExit("2", "b", "x"), newExit("3", "c", "x")}},
+			records:     Records{Exits: []Exit{newExit("1", "a", "x"), newExit("2", "b", "x"), newExit("3", "c", "x")}},
 			quarantined: []string{"x"},
 		},
 		"one exit recorded by three entries": {
-			records: Records{Ends: []End{newExit("1", "a", "x"), newExit("1", "b", "x"), newExit("1", "c", "x")}},
+			records: Records{Exits: []Exit{newExit("1", "a", "x"), newExit("1", "b", "x"), newExit("1", "c", "x")}},
 		},
 		"bystander at three of four exits": {
-			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y"), newExit("4", "a", "x")}},
+			records:     Records{Exits: []Exit{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y"), newExit("4", "a", "x")}},
 			quarantined: []string{"x"},
 		},
 		"bystander at every exit": {
-			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y")}},
+			records:     Records{Exits: []Exit{newExit("1", "a", "x", "y"), newExit("2", "a", "x", "y"), newExit("3", "a", "x", "y")}},
 			quarantined: []string{"x", "y"},
 		},
 		"two causes that share an exit": {
-			records:     Records{Ends: []End{newExit("1", "a", "x", "y"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "a", "y"), newExit("5", "a", "y"), newExit("6", "a", "y")}},
+			records:     Records{Exits: []Exit{newExit("1", "a", "x", "y"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "a", "y"), newExit("5", "a", "y"), newExit("6", "a", "y")}},
 			quarantined: []string{"x", "y"},
 		},
 		"bystander of two causes": {
-			records: Records{Ends: []End{
+			records: Records{Exits: []Exit{
 				newExit("1", "a", "x", "z"), newExit("2", "a", "x", "z"), newExit("3", "a", "x"), newExit("4", "a", "x"),
 				newExit("5", "a", "y", "z"), newExit("6", "a", "y"), newExit("7", "a", "y"), newExit("8", "a", "y"),
 			}},
@@ -62,14 +62,14 @@
 		},
 		"response after the exits": {
 			records: Records{
-				Ends:    []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")},
-				Answers: []Answer{{Request: testPrint("x"), Lives: []string{"1", "2"}}},
+				Exits:     []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")},
+				Responses: []Response{{Request: testPrint("x"), Incarnations: []string{"1", "2"}}},
 			},
 		},
 		"three more exits after a response": {
 			records: Records{
-				Ends:    []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "b", "x")},
-				Answers: []Answer{{Request: testPrint("x"), Lives: []string{"1"}}},
+				Exits:     []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "b", "x")},
+				Responses: []Response{{Request: testPrint("x"), Incarnations: []string{"1"}}},
 			},
 			quarantined: []string{"x"},
 		},
@@ -77,10 +77,10 @@
 		t.Run(name, func(t *testing.T) {
 			for variant := range 3 {
 				var l Ledger
-				for _, i := range permute(len(test.records.Ends), variant) {
-					l.Merge(Records{Ends: test.records.Ends[i : i+1]}, time.Now())
+				for _, i := range permute(len(test.records.Exits), variant) {
+					l.Merge(Records{Exits: test.records.Exits[i : i+1]}, time.Now())
 				}
-				l.Merge(Records{Answers: test.records.Answers}, time.Now())
+				l.Merge(Records{Responses: test.records.Responses}, time.Now())
 				var quarantined []string
 				for _, name := range []string{"x", "y", "z"} {
 					if l.IsQuarantined(testPrint(name)) {
@@ -118,7 +118,7 @@
 		for n := range 15 {
 			requests = append(requests, strconv.Itoa((exit*7+n*3)%60))
 		}
-		l.Merge(Records{Ends: []End{newExit(fmt.Sprint("incarnation ", exit), "a", requests...)}}, time.Now())
+		l.Merge(Records{Exits: []Exit{newExit(fmt.Sprint("incarnation ", exit), "a", requests...)}}, time.Now())
 	}
 	if !l.IsQuarantined(testPrint("x")) {
 		t.Error("the request in flight at every exit is not quarantined")
@@ -132,17 +132,17 @@
 
 func TestLedgerRemovesRecords(t *testing.T) {
 	now := time.Now()
-	exits := []End{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}
+	exits := []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}
 	t.Run("removed records", func(t *testing.T) {
 		var l Ledger
-		if !l.Merge(Records{Ends: exits}, now) || l.Merge(Records{Gone: []string{exits[1].Key()}}, now) || l.IsQuarantined(testPrint("x")) {
+		if !l.Merge(Records{Exits: exits}, now) || l.Merge(Records{Removed: []string{exits[1].Key()}}, now) || l.IsQuarantined(testPrint("x")) {
 			t.Error("the request is quarantined by a removed record")
 		}
 	})
 	t.Run("records no longer stored", func(t *testing.T) {
 		var l Ledger
-		l.Merge(Records{Ends: exits}, now)
-		l.Replace(Records{Ends: exits[:2]}, now)
+		l.Merge(Records{Exits: exits}, now)
+		l.Replace(Records{Exits: exits[:2]}, now)
 		if l.IsQuarantined(testPrint("x")) || len(l.Keys()) != 2 {
 			t.Errorf("quarantined: %t, %d records, want 2", l.IsQuarantined(testPrint("x")), len(l.Keys()))
 		}
@@ -151,10 +151,10 @@
 		var l Ledger
 		var records Records
 		for n := range maxRecords {
-			records.Ends = append(records.Ends, newExit(fmt.Sprint("incarnation ", n), "a", strconv.Itoa(n)))
+			records.Exits = append(records.Exits, newExit(fmt.Sprint("incarnation ", n), "a", strconv.Itoa(n)))
 		}
-		l.Merge(Records{Ends: exits}, now)
-		l.Merge(Records{Ends: []End{newExit("4", "a", "y")}}, now)
+		l.Merge(Records{Exits: exits}, now)
+		l.Merge(Records{Exits: []Exit{newExit("4", "a", "y")}}, now)
 		l.Merge(records, now.Add(time.Second))
 		if !l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) > 0 || len(l.Keys()) != maxRecords {
 			t.Errorf("quarantined: %t, %d exits of another request, %d records, want %d", l.IsQuarantined(testPrint("x")), len(l.Incarnations(testPrint("y"))), len(l.Keys()), maxRecords)
@@ -162,21 +162,21 @@
 	})
 	t.Run("records of another entry", func(t *testing.T) {
 		var l Ledger
-		l.Merge(Records{Ends: exits}, now)
-		l.Merge(Records{Ends: []End{newExit("2", "b", "x", "y")}}, now)
-		l.Merge(Records{Gone: []string{exits[1].Key()}}, now)
+		l.Merge(Records{Exits: exits}, now)
+		l.Merge(Records{Exits: []Exit{newExit("2", "b", "x", "y")}}, now)
+		l.Merge(Records{Removed: []string{exits[1].Key()}}, now)
 		if !l.IsQuarantined(testPrint("x")) {
 			t.Error("the request is no longer quarantined")
 		}
-		l.Merge(Records{Ends: []End{newExit("2", "b", "y")}}, now)
+		l.Merge(Records{Exits: []Exit{newExit("2", "b", "y")}}, now)
 		if l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) != 1 {
 			t.Errorf("the request is quarantined by an exit it was not in flight at; %d exits of another request", len(l.Incarnations(testPrint("y"))))
 		}
 	})
 	t.Run("old records", func(t *testing.T) {
 		var l Ledger
-		l.Merge(Records{Ends: exits[:1]}, now.Add(-time.Hour))
-		l.Merge(Records{Ends: exits}, now)
+		l.Merge(Records{Exits: exits[:1]}, now.Add(-time.Hour))
+		l.Merge(Records{Exits: exits}, now)
 		if old := l.LearnedBefore(now.Add(-time.Minute)); !slices.Equal(old, []string{exits[0].Key()}) {
 			t.Errorf("old records are %q", old)
 		}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// KeepTime is how long records are kept: long enough for an operator to notice, short enough that a request is accepted
+	// Retention is how long records are kept: long enough for an operator to notice, short enough that a request is accepted
 	// again after its engine was fixed.
-	KeepTime = time.Hour
+	Retention = time.Hour
 	// retentionJitter is the maximum time added per entry, so that usually one entry removes expired records for all.
 	retentionJitter = 10 * time.Minute
 	// maxRequestsPerExit bounds the requests in one exit record.
@@ -32,8 +32,8 @@
 	Log   log.Interface
 	// Wait is the long-poll timeout of calls for changes.
 	Wait time.Duration
-	// Told reports whether a peer entry relays the stored records, so that the store is not read; nil means no peer does.
-	Told func() bool
+	// PeerActive reports whether a peer entry relays the stored records, so that the store is not read; nil means no peer does.
+	PeerActive func() bool
 }
 
 // Quarantine decides which requests are quarantined. It is safe for concurrent use.
@@ -57,21 +57,21 @@
 	}
 	opts.Wait = cmp.Or(opts.Wait, view.DefaultPollTimeout)
 	return &Quarantine{
-		opts: opts, retention: KeepTime + rand.N(retentionJitter), writeRequested: make(chan struct{}, 1), pending: make(map[string]bool),
+		opts: opts, retention: Retention + rand.N(retentionJitter), writeRequested: make(chan struct{}, 1), pending: make(map[string]bool),
 		missing: make(map[string]bool),
 	}
 }
 
-// OnNews sets a function that is called after each change of the records; added says that another request was quarantined.
-func (q *Quarantine) OnNews(call func(added bool)) {
+// OnChange sets a function that is called after each change of the records; added says that another request was quarantined.
+func (q *Quarantine) OnChange(call func(added bool)) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.onChange = call
 }
 
-// Take merges records relayed by a peer entry. It removes no record that the peer lacks: the peer may have started after the
+// Merge merges records relayed by a peer entry. It removes no record that the peer lacks: the peer may have started after the
 // store was restored from a backup.
-func (q *Quarantine) Take(records Records) { q.merge(records, false) }
+func (q *Quarantine) Merge(records Records) { q.merge(records, false) }
 
 // Changes returns the records that changed since the versions in sent, by record key, and updates sent.
 func (q *Quarantine) Changes(sent map[string]int) Records {
@@ -80,8 +80,8 @@
 	return q.ledger.Changes(sent)
 }
 
-// Ended records that a server incarnation has exited with requests of this entry in flight.
-func (q *Quarantine) Ended(incarnation string, requests []Fingerprint) {
+// RecordExit records that a server incarnation has exited with requests of this entry in flight.
+func (q *Quarantine) RecordExit(incarnation string, requests []Fingerprint) {
 	q.mu.Lock()
 	exit := q.ledger.Exit(incarnation, q.opts.Entry)
 	exit.Requests = slices.Clone(exit.Requests)
@@ -92,14 +92,14 @@
 	}
 	exit.Requests = exit.Requests[:min(len(exit.Requests), maxRequestsPerExit)]
 	q.pending[exit.Key()] = true
-	added := q.ledger.Merge(Records{Ends: []End{exit}}, clock.Now())
+	added := q.ledger.Merge(Records{Exits: []Exit{exit}}, clock.Now())
 	q.mu.Unlock()
 	q.requestWrite()
 	q.notify(added)
 }
 
-// Answered records that a server has responded to a request, which clears all its known exits.
-func (q *Quarantine) Answered(request Fingerprint) {
+// RecordResponse records that a server has responded to a request, which clears all its known exits.
+func (q *Quarantine) RecordResponse(request Fingerprint) {
 	q.mu.Lock()
 	incarnations := q.ledger.Incarnations(request)
 	if len(incarnations) == 0 {
@@ -107,11 +107,11 @@
 		return
 	}
 	response := q.ledger.Response(request)
-	response.Lives = append(slices.Clone(response.Lives), incarnations...)
+	response.Incarnations = append(slices.Clone(response.Incarnations), incarnations...)
 	if len(incarnations) >= minSharedExits {
 		q.pending[response.Key()] = true
 	}
-	added := q.ledger.Merge(Records{Answers: []Answer{response}}, clock.Now())
+	added := q.ledger.Merge(Records{Responses: []Response{response}}, clock.Now())
 	q.mu.Unlock()
 	q.requestWrite()
 	q.notify(added)
@@ -142,15 +142,15 @@
 // newer and take precedence.
 func (q *Quarantine) merge(records Records, complete bool) {
 	q.mu.Lock()
-	for _, exit := range records.Ends {
+	for _, exit := range records.Exits {
 		delete(q.missing, exit.Key())
 	}
-	for _, response := range records.Answers {
+	for _, response := range records.Responses {
 		delete(q.missing, response.Key())
 	}
 	own := q.pendingRecords()
-	records.Ends = append(slices.Clone(records.Ends), own.Ends...)
-	records.Answers = append(slices.Clone(records.Answers), own.Answers...)
+	records.Exits = append(slices.Clone(records.Exits), own.Exits...)
+	records.Responses = append(slices.Clone(records.Responses), own.Responses...)
 	apply := q.ledger.Merge
 	if complete {
 		apply = q.ledger.Replace
@@ -179,10 +179,10 @@
 	var records Records
 	for key := range q.pending {
 		if exit, ok := q.ledger.exits[key]; ok {
-			records.Ends = append(records.Ends, exit)
+			records.Exits = append(records.Exits, exit)
 		}
 		if response, ok := q.ledger.responses[key]; ok {
-			records.Answers = append(records.Answers, response)
+			records.Responses = append(records.Responses, response)
 		}
 	}
 	return records
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -23,8 +23,8 @@
 	epoch          store.Epoch
 	cursor         int64
 	oldestPosition int64
-	exits          map[string]End
-	responses      map[string]Answer
+	exits          map[string]Exit
+	responses      map[string]Response
 	changes        []change
 	changed        chan struct{}
 	unavailable    bool
@@ -42,7 +42,7 @@
 var errUnavailable = errors.New("unavailable")
 
 func newSharedStore() *sharedStore {
-	return &sharedStore{exits: make(map[string]End), responses: make(map[string]Answer), changed: make(chan struct{})}
+	return &sharedStore{exits: make(map[string]Exit), responses: make(map[string]Response), changed: make(chan struct{})}
 }
 
 func (s *sharedStore) Records(context.Context) (Records, view.Cursor, error) {
@@ -51,7 +51,7 @@
 	if s.unavailable {
 		return Records{}, view.Cursor{}, errUnavailable
 	}
-	return Records{Ends: slices.Collect(maps.Values(s.exits)), Answers: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Position: s.cursor}, nil
+	return Records{Exits: slices.Collect(maps.Values(s.exits)), Responses: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Position: s.cursor}, nil
 }
 
 func (s *sharedStore) RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
@@ -73,7 +73,7 @@
 			return Records{}, view.Cursor{}, errUnavailable
 		case gone:
 			return Records{}, view.Cursor{}, &view.HistoryGoneError{}
-		case records.Size() > 0:
+		case records.Len() > 0:
 			return records, at, nil
 		}
 		select {
@@ -97,11 +97,11 @@
 		response, isResponse := s.responses[c.key]
 		switch {
 		case isExit:
-			records.Ends = append(records.Ends, exit)
+			records.Exits = append(records.Exits, exit)
 		case isResponse:
-			records.Answers = append(records.Answers, response)
+			records.Responses = append(records.Responses, response)
 		default:
-			records.Gone = append(records.Gone, c.key)
+			records.Removed = append(records.Removed, c.key)
 		}
 	}
 	return records
@@ -119,15 +119,15 @@
 	}
 	s.writes++
 	s.cursor++
-	for _, exit := range records.Ends {
+	for _, exit := range records.Exits {
 		s.exits[exit.Key()] = exit
 		s.changes = append(s.changes, change{s.cursor, exit.Key()})
 	}
-	for _, response := range records.Answers {
+	for _, response := range records.Responses {
 		s.responses[response.Key()] = response
 		s.changes = append(s.changes, change{s.cursor, response.Key()})
 	}
-	for _, key := range records.Gone {
+	for _, key := range records.Removed {
 		delete(s.exits, key)
 		delete(s.responses, key)
 		s.changes = append(s.changes, change{s.cursor, key})
@@ -164,7 +164,7 @@
 // recordExits records the exits of incarnations with a request in flight, at the entries in turn.
 func recordExits(request string, qs []*Quarantine, incarnations ...string) {
 	for i, incarnation := range incarnations {
-		qs[i%len(qs)].Ended(incarnation, []Fingerprint{testPrint(request)})
+		qs[i%len(qs)].RecordExit(incarnation, []Fingerprint{testPrint(request)})
 	}
 }
 
@@ -221,7 +221,7 @@
 		b, _ := startEntry(t, "b", store)
 		recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
 		time.Sleep(time.Second)
-		a.Answered(testPrint("x"))
+		a.RecordResponse(testPrint("x"))
 		time.Sleep(time.Second)
 		if a.isQuarantined("x") || b.isQuarantined("x") {
 			t.Errorf("quarantined: %t, %t", a.isQuarantined("x"), b.isQuarantined("x"))
@@ -234,14 +234,14 @@
 	})
 }
 
-// TestExpiredRecordsAreRemoved checks that records are removed after KeepTime, in the store too.
+// TestExpiredRecordsAreRemoved checks that records are removed after Retention, in the store too.
 func TestExpiredRecordsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newSharedStore()
 		a, _ := startEntry(t, "a", store)
 		b, _ := startEntry(t, "b", store)
 		recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
-		time.Sleep(KeepTime - time.Minute)
+		time.Sleep(Retention - time.Minute)
 		if !a.isQuarantined("x") || !b.isQuarantined("x") {
 			t.Error("the request is no longer quarantined")
 		}
@@ -261,7 +261,7 @@
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
 		for _, request := range []string{"x", "y", "z"} {
-			a.Ended("1", []Fingerprint{testPrint(request)})
+			a.RecordExit("1", []Fingerprint{testPrint(request)})
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -279,13 +279,13 @@
 		store := newSharedStore()
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
-		a.Ended("1", []Fingerprint{testPrint("x")})
+		a.RecordExit("1", []Fingerprint{testPrint("x")})
 		time.Sleep(time.Second)
 		store.update(func() { store.unavailable, store.writeDelay = true, 500*time.Millisecond })
-		a.Ended("1", []Fingerprint{testPrint("y")})
+		a.RecordExit("1", []Fingerprint{testPrint("y")})
 		time.Sleep(100 * time.Millisecond)
 		// The entry receives its older record again, then an empty complete set.
-		a.Take(Records{Ends: []End{newExit("1", "a", "x")}})
+		a.Merge(Records{Exits: []Exit{newExit("1", "a", "x")}})
 		a.merge(Records{}, true)
 		time.Sleep(time.Second)
 		store.update(func() { store.unavailable = false })
--- a/quarantine/sync.go
+++ b/quarantine/sync.go
@@ -28,7 +28,7 @@
 	// Records returns all records. RecordsAfter is a long poll that returns the changes after cursor, none if wait passes.
 	Records(ctx context.Context) (Records, view.Cursor, error)
 	RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error)
-	// WriteRecords stores records and removes those in Gone. It is idempotent.
+	// WriteRecords stores records and removes those in Removed. It is idempotent.
 	WriteRecords(ctx context.Context, records Records) error
 }
 
@@ -40,7 +40,7 @@
 	}
 	cursor, known, pause, wait := view.Cursor{}, false, minBackoff, q.opts.Wait
 	for ctx.Err() == nil {
-		if q.opts.Told != nil && q.opts.Told() {
+		if q.opts.PeerActive != nil && q.opts.PeerActive() {
 			known = false
 			sleep(ctx, peerCheckInterval)
 			continue
@@ -57,7 +57,7 @@
 		switch {
 		case !known && next.Epoch > cursor.Epoch && cursor != view.Cursor{}:
 			q.mergeRestored(ctx, records)
-		case !known || records.Size() > 0:
+		case !known || records.Len() > 0:
 			q.merge(records, !known)
 		}
 		cursor, known, pause, wait = next, true, minBackoff, q.opts.Wait
@@ -104,7 +104,7 @@
 		q.mu.Lock()
 		records, versions := q.pendingRecords(), maps.Clone(q.ledger.versions)
 		q.mu.Unlock()
-		if records.Size() == 0 {
+		if records.Len() == 0 {
 			return
 		}
 		if err := q.write(ctx, records); err != nil {
@@ -130,7 +130,7 @@
 
 // write stores records. It does nothing without a store.
 func (q *Quarantine) write(ctx context.Context, records Records) error {
-	if q.opts.Store == nil || records.Size() == 0 {
+	if q.opts.Store == nil || records.Len() == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
@@ -143,10 +143,10 @@
 	q.mu.Lock()
 	old := q.ledger.LearnedBefore(clock.Now().Add(-q.retention))
 	q.mu.Unlock()
-	if len(old) == 0 || q.write(ctx, Records{Gone: old}) != nil {
+	if len(old) == 0 || q.write(ctx, Records{Removed: old}) != nil {
 		return
 	}
-	q.merge(Records{Gone: old}, false)
+	q.merge(Records{Removed: old}, false)
 }
 
 func sleep(ctx context.Context, pause time.Duration) {
