--- a/admission/policy.go
+++ b/admission/policy.go
@@ -21,11 +21,11 @@
 	routeTTL = 30 * time.Second
 )
 
-// Ask describes a request that seeks admission.
-type Ask struct {
-	// Kind is the request's route, Goal its latency goal.
-	Kind string
-	Goal time.Duration
+// Request describes a request that seeks admission.
+type Request struct {
+	// Route is the request's route, Goal its latency goal.
+	Route string
+	Goal  time.Duration
 }
 
 // Policy admits the requests of one service. The zero value is ready to use and safe for concurrent use.
@@ -41,20 +41,20 @@
 	lastSeen time.Time
 }
 
-// Note records a request's route, whose goal then limits the other routes too.
-func (p *Policy) Note(ask Ask, now time.Time) {
+// Record records a request's route, whose goal then limits the other routes too.
+func (p *Policy) Record(ask Request, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.routes, func(_ string, state routeState) bool { return now.Sub(state.lastSeen) > routeTTL })
 	if p.routes == nil {
 		p.routes = make(map[string]routeState)
 	}
-	p.routes[ask.Kind] = routeState{goal: ask.Goal, lastSeen: now}
+	p.routes[ask.Route] = routeState{goal: ask.Goal, lastSeen: now}
 }
 
-// LetIn reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first try, 0 for
+// Admit reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first try, 0 for
 // a first try.
-func (p *Policy) LetIn(ask Ask, sinceFirst, queueDelay time.Duration) bool {
+func (p *Policy) Admit(ask Request, sinceFirst, queueDelay time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sinceFirst > 0 {
@@ -83,7 +83,7 @@
 
 // maxDelay returns the longest queueing delay at which a request is admitted. It uses the tightest goal of all active routes,
 // so that a route with a tighter goal is not refused more often than the others; mu is held.
-func (p *Policy) maxDelay(ask Ask, share float64) time.Duration {
+func (p *Policy) maxDelay(ask Request, share float64) time.Duration {
 	tightest := ask.Goal
 	for _, state := range p.routes {
 		if state.goal > 0 {
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -11,8 +11,8 @@
 
 // Requests on two routes of one service.
 var (
-	long  = Ask{Kind: "long", Goal: ms(400)}
-	short = Ask{Kind: "short", Goal: ms(300)}
+	long  = Request{Route: "long", Goal: ms(400)}
+	short = Request{Route: "short", Goal: ms(300)}
 )
 
 // refusePercent has the policy refuse a percentage of first tries until its pressure has settled.
@@ -22,16 +22,16 @@
 		if i*percent%100 < percent {
 			queueDelay = time.Hour
 		}
-		p.Note(long, start)
-		p.LetIn(long, 0, queueDelay)
+		p.Record(long, start)
+		p.Admit(long, 0, queueDelay)
 	}
 }
 
 func TestIdleRoutesExpire(t *testing.T) {
 	var p Policy
-	p.Note(short, start)
-	p.Note(long, start.Add(routeTTL+time.Second))
-	if !p.LetIn(long, 0, ms(310)) {
+	p.Record(short, start)
+	p.Record(long, start.Add(routeTTL+time.Second))
+	if !p.Admit(long, 0, ms(310)) {
 		t.Error("the goal of an idle route still limits other routes")
 	}
 }
@@ -39,7 +39,7 @@
 func TestAdmit(t *testing.T) {
 	for name, test := range map[string]struct {
 		percent int
-		ask     Ask
+		ask     Request
 		since   time.Duration
 		delay   time.Duration
 		want    bool
@@ -57,9 +57,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p Policy
-			p.Note(short, start)
+			p.Record(short, start)
 			refusePercent(&p, test.percent)
-			if got := p.LetIn(test.ask, test.since, test.delay); got != test.want {
+			if got := p.Admit(test.ask, test.since, test.delay); got != test.want {
 				t.Errorf("admitted %t, want %t; pressure %.3f", got, test.want, p.Pressure())
 			}
 		})
@@ -71,7 +71,7 @@
 	refusePercent(&p, 30)
 	before := p.Pressure()
 	for range 100 {
-		p.LetIn(long, ms(900), time.Hour)
+		p.Admit(long, ms(900), time.Hour)
 	}
 	if p.Pressure() != before {
 		t.Errorf("retries changed the pressure from %.3f to %.3f", before, p.Pressure())
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -18,14 +18,14 @@
 // Refusal is a refused try: the request's fingerprint, the time of its first try and the caller's deadline, zero if
 // it gave none.
 type Refusal struct {
-	Print uint64
-	First time.Time
-	Ends  time.Time
+	Fingerprint uint64
+	FirstTry    time.Time
+	Deadline    time.Time
 }
 
-// Returns distinguishes retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
+// RetryDetector distinguishes retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
 // concurrent use.
-type Returns struct {
+type RetryDetector struct {
 	mu            sync.Mutex
 	byFingerprint map[uint64][]recordedRefusal
 	oldestFirst   []recordedRefusal
@@ -36,15 +36,15 @@
 	recordedAt time.Time
 }
 
-// Note records a refusal and drops expired ones.
-func (r *Returns) Note(refusal Refusal, now time.Time) {
+// Record records a refusal and drops expired ones.
+func (r *RetryDetector) Record(refusal Refusal, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byFingerprint == nil {
 		r.byFingerprint = make(map[uint64][]recordedRefusal)
 	}
 	recorded := recordedRefusal{Refusal: refusal, recordedAt: now}
-	r.byFingerprint[refusal.Print] = append(r.byFingerprint[refusal.Print], recorded)
+	r.byFingerprint[refusal.Fingerprint] = append(r.byFingerprint[refusal.Fingerprint], recorded)
 	r.oldestFirst = append(r.oldestFirst, recorded)
 	for len(r.oldestFirst) > maxRefusals || len(r.oldestFirst) > 0 && now.Sub(r.oldestFirst[0].recordedAt) > retryWindow {
 		r.forget(r.oldestFirst[0])
@@ -52,23 +52,23 @@
 	}
 }
 
-// Take returns the time of a request's first try if the request retries a refused one. Each refusal matches once; equal
+// Match returns the time of a request's first try if the request retries a refused one. Each refusal matches once; equal
 // requests are distinguished by their deadlines.
-func (r *Returns) Take(fingerprint uint64, deadline, now time.Time) (first time.Time, ok bool) {
+func (r *RetryDetector) Match(fingerprint uint64, deadline, now time.Time) (first time.Time, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, recorded := range r.byFingerprint[fingerprint] {
-		if now.Sub(recorded.recordedAt) <= retryWindow && recorded.Ends.Sub(deadline).Abs() <= deadlineTolerance {
+		if now.Sub(recorded.recordedAt) <= retryWindow && recorded.Deadline.Sub(deadline).Abs() <= deadlineTolerance {
 			r.forget(recorded)
-			return recorded.First, true
+			return recorded.FirstTry, true
 		}
 	}
 	return time.Time{}, false
 }
 
 // forget removes a refusal; mu is held.
-func (r *Returns) forget(recorded recordedRefusal) {
-	all := r.byFingerprint[recorded.Print]
+func (r *RetryDetector) forget(recorded recordedRefusal) {
+	all := r.byFingerprint[recorded.Fingerprint]
 	for i := range all {
 		if all[i] == recorded {
 			all = append(all[:i], all[i+1:]...)
@@ -76,8 +76,8 @@
 		}
 	}
 	if len(all) == 0 {
-		delete(r.byFingerprint, recorded.Print)
+		delete(r.byFingerprint, recorded.Fingerprint)
 		return
 	}
-	r.byFingerprint[recorded.Print] = all
+	r.byFingerprint[recorded.Fingerprint] = all
 }
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -9,7 +9,7 @@
 
 // refusedAt returns a refusal at start of a request whose first try was before that, with left until its deadline.
 func refusedAt(fingerprint uint64, before, left time.Duration) Refusal {
-	return Refusal{Print: fingerprint, First: start.Add(-before), Ends: start.Add(left)}
+	return Refusal{Fingerprint: fingerprint, FirstTry: start.Add(-before), Deadline: start.Add(left)}
 }
 
 func TestRetriesAreDetected(t *testing.T) {
@@ -30,16 +30,16 @@
 		"after the retry window":                 {[]Refusal{refusal}, 7, ms(4500), ms(500), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var r Returns
+			var r RetryDetector
 			for _, refusal := range test.refusals {
-				r.Note(refusal, start)
+				r.Record(refusal, start)
 			}
 			now := start.Add(test.at)
-			first, ok := r.Take(test.print, now.Add(test.left), now)
-			if ok != test.want || ok && !first.Equal(refusal.First) {
+			first, ok := r.Match(test.print, now.Add(test.left), now)
+			if ok != test.want || ok && !first.Equal(refusal.FirstTry) {
 				t.Errorf("matched %t, first try at %s; want %t", ok, first.Sub(start), test.want)
 			}
-			if _, again := r.Take(test.print, now.Add(test.left), now); again {
+			if _, again := r.Match(test.print, now.Add(test.left), now); again {
 				t.Error("one refusal matched twice")
 			}
 		})
@@ -47,14 +47,14 @@
 }
 
 func TestRecordedRefusalsAreBounded(t *testing.T) {
-	var r Returns
+	var r RetryDetector
 	for i := range 2 * maxRefusals {
-		r.Note(refusedAt(uint64(i), 0, ms(5000)), start)
+		r.Record(refusedAt(uint64(i), 0, ms(5000)), start)
 	}
 	if len(r.oldestFirst) > maxRefusals || len(r.byFingerprint) > maxRefusals {
 		t.Errorf("%d in order and %d fingerprints are kept", len(r.oldestFirst), len(r.byFingerprint))
 	}
-	r.Note(refusedAt(1, 0, ms(5000)), start.Add(retryWindow+time.Second))
+	r.Record(refusedAt(1, 0, ms(5000)), start.Add(retryWindow+time.Second))
 	if len(r.oldestFirst) != 1 || len(r.byFingerprint) != 1 {
 		t.Errorf("%d in order and %d fingerprints are kept after expiry, want 1", len(r.oldestFirst), len(r.byFingerprint))
 	}
@@ -73,19 +73,19 @@
 				ends  time.Time
 				retry bool
 			}
-			var r Returns
+			var r RetryDetector
 			var retries []try
 			wrong, sent := 0, 0
 			now := start
 			send := func(one try) {
 				jitter := time.Duration(rng.IntN(8)) * time.Millisecond
-				_, matched := r.Take(one.print, one.ends.Add(jitter), one.at)
+				_, matched := r.Match(one.print, one.ends.Add(jitter), one.at)
 				sent++
 				if matched != one.retry {
 					wrong++
 				}
 				if !one.retry && rng.IntN(4) == 0 {
-					r.Note(Refusal{Print: one.print, First: one.at, Ends: one.ends}, one.at)
+					r.Record(Refusal{Fingerprint: one.print, FirstTry: one.at, Deadline: one.ends}, one.at)
 					after := ms(400 + rng.IntN(900))
 					retries = append(retries, try{at: one.at.Add(after), print: one.print, ends: one.ends, retry: true})
 				}
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -92,7 +92,7 @@
 		c := NewController(100)
 		s := &slots{free: 1}
 		request := func(deadline time.Duration) Request {
-			return Request{Team: "a", Deadline: time.Now().Add(deadline), Place: s.reserve}
+			return Request{Team: "a", Deadline: time.Now().Add(deadline), Reserve: s.reserve}
 		}
 		for range 20 {
 			if _, err := c.Acquire(t.Context(), request(time.Minute)); err != nil {
@@ -124,7 +124,7 @@
 		c := NewController(10)
 		s := &slots{}
 		begin := time.Now()
-		_, err := c.Acquire(t.Context(), Request{Team: "a", Deadline: begin.Add(time.Second), Place: s.reserve})
+		_, err := c.Acquire(t.Context(), Request{Team: "a", Deadline: begin.Add(time.Second), Reserve: s.reserve})
 		var refused *RefusedError
 		if !errors.As(err, &refused) || time.Since(begin) != time.Second {
 			t.Errorf("error %v after %s, want a refusal at the deadline", err, time.Since(begin))
@@ -142,7 +142,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() {
-			_, err := c.Acquire(ctx, Request{Team: "a", Deadline: time.Now().Add(time.Hour), Place: s.reserve})
+			_, err := c.Acquire(ctx, Request{Team: "a", Deadline: time.Now().Add(time.Hour), Reserve: s.reserve})
 			done <- err
 		}()
 		synctest.Wait()
@@ -156,7 +156,7 @@
 func TestControllerTeamLimit(t *testing.T) {
 	c := NewController(10)
 	s := &slots{free: 5}
-	request := Request{Team: "a", Concurrency: 2, Deadline: time.Now().Add(time.Hour), Place: s.reserve}
+	request := Request{Team: "a", Concurrency: 2, Deadline: time.Now().Add(time.Hour), Reserve: s.reserve}
 	for range 2 {
 		if _, err := c.Acquire(t.Context(), request); err != nil {
 			t.Fatal(err)
@@ -184,7 +184,7 @@
 		send := func(team string) {
 			sent[team]++
 			go func() {
-				_, err := c.Acquire(t.Context(), Request{Team: team, Deadline: time.Now().Add(2 * time.Second), Place: s.reserve})
+				_, err := c.Acquire(t.Context(), Request{Team: team, Deadline: time.Now().Add(2 * time.Second), Reserve: s.reserve})
 				if err != nil {
 					return
 				}
@@ -194,7 +194,7 @@
 				time.Sleep(service)
 				s.release()
 				c.Done(team)
-				c.Kick()
+				c.Dispatch()
 			}()
 		}
 		for round := range rounds {
--- a/admit/controller.go
+++ b/admit/controller.go
@@ -37,12 +37,12 @@
 	Weight   int
 	Priority int
 	Deadline time.Time
-	// Again marks a request that was admitted before, to a box that did not run it; it is not refused for a long expected wait.
-	Again bool
+	// Retried marks a request that was admitted before, to a box that did not run it; it is not refused for a long expected wait.
+	Retried bool
 	// Concurrency limits the team's requests, waiting and running; 0 means no limit.
 	Concurrency int
-	// Place reserves a box for the request; ok is false while none has capacity.
-	Place func() (box string, ok bool)
+	// Reserve reserves a box for the request; ok is false while none has capacity.
+	Reserve func() (box string, ok bool)
 }
 
 // Ticket is a request that has a box or waits in the queue.
@@ -73,7 +73,7 @@
 	}
 }
 
-// Acquire waits for a box and returns the one that Place reserved. The caller calls Done when the request has ended.
+// Acquire waits for a box and returns the one that Reserve returned. The caller calls Done when the request has ended.
 // It returns a RefusedError without waiting when the request is not expected to meet its deadline.
 func (c *Controller) Acquire(ctx context.Context, req Request) (box string, err error) {
 	ticket, err := c.admit(req, time.Now())
@@ -95,11 +95,11 @@
 	}
 }
 
-// Again reserves another box for an admitted request, without waiting.
-func (c *Controller) Again(req Request) (box string, ok bool) {
+// Reserve reserves another box for an admitted request, without waiting.
+func (c *Controller) Reserve(req Request) (box string, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return req.Place()
+	return req.Reserve()
 }
 
 // Done releases an admitted request's slot in its team's concurrency limit.
@@ -109,8 +109,8 @@
 	c.releaseSlot(team)
 }
 
-// Kick dispatches waiting requests while boxes have capacity.
-func (c *Controller) Kick() {
+// Dispatch dispatches waiting requests while boxes have capacity.
+func (c *Controller) Dispatch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dispatch(time.Now())
@@ -148,13 +148,13 @@
 	}
 	ticket := &Ticket{req: req, placed: make(chan string, 1)}
 	if c.queue.Len() == 0 {
-		if box, ok := req.Place(); ok {
+		if box, ok := req.Reserve(); ok {
 			c.queue.Charge(req.Team, req.Weight)
 			c.grant(ticket, box, now)
 			return ticket, nil
 		}
 	}
-	if wait := c.expectedWait(req, now); !req.Again && wait > req.Deadline.Sub(now)*maxWaitPercent/100 {
+	if wait := c.expectedWait(req, now); !req.Retried && wait > req.Deadline.Sub(now)*maxWaitPercent/100 {
 		return nil, c.refusal("the deadline cannot be met", wait)
 	}
 	ticket.item = &Item{Team: req.Team, Weight: req.Weight, Priority: req.Priority, Deadline: req.Deadline, ticket: ticket}
@@ -245,7 +245,7 @@
 			c.refuseQueued(item, "the deadline passed while waiting", now)
 			continue
 		}
-		box, ok := item.ticket.req.Place()
+		box, ok := item.ticket.req.Reserve()
 		if !ok {
 			return
 		}
--- a/box/box.go
+++ b/box/box.go
@@ -93,7 +93,7 @@
 		Load:     b.gate.InFlight(),
 		Slots:    b.cfg.Slots,
 		Entries:  b.entryCount(),
-		Resumes:  b.cfg.Resumes,
+		Resumes:  b.cfg.ResumesStreams,
 		Service:  link.ServiceState{Service: b.cfg.Service, State: string(b.loader.phase())},
 		Progress: b.transfer.Progress(),
 	}
--- a/box/config.go
+++ b/box/config.go
@@ -36,7 +36,7 @@
 	// UncheckedFences says that the upstream accepts orders without checking their fence.
 	UncheckedFences bool
 	// ResumesStreams says that the engine resumes an interrupted stream after the events named in X-Resume-Events.
-	Resumes bool
+	ResumesStreams bool
 	// WeightsLimit is the memory for weights in bytes; 0 means no limit.
 	WeightsLimit int64
 	// Slots is how many requests the upstream takes at a time; 0 means that the box sets no limit.
--- a/box/errors.go
+++ b/box/errors.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// AddressTakenError says that the box's port is in use, perhaps by an earlier daemon of the box.
-type AddressTakenError struct {
+// AddressInUseError says that the box's port is in use, perhaps by an earlier daemon of the box.
+type AddressInUseError struct {
 	Address string
 	Err     error
 }
 
 // Error names the address.
-func (e *AddressTakenError) Error() string {
+func (e *AddressInUseError) Error() string {
 	return fmt.Sprintf("another daemon listens on %s: %v", e.Address, e.Err)
 }
 
 // Unwrap returns the cause.
-func (e *AddressTakenError) Unwrap() error { return e.Err }
+func (e *AddressInUseError) Unwrap() error { return e.Err }
--- a/claim/claims.go
+++ b/claim/claims.go
@@ -11,11 +11,11 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// MaxAnswer is the longest response body, in bytes, that is stored for later requests with the same key.
-const MaxAnswer = 64 << 10
+// MaxResponseBytes is the longest response body, in bytes, that is stored for later requests with the same key.
+const MaxResponseBytes = 64 << 10
 
-// Grace is how long after its deadline a claim without a result counts as in progress.
-const Grace = 5 * time.Second
+// DeadlineGrace is how long after its deadline a claim without a result counts as in progress.
+const DeadlineGrace = 5 * time.Second
 
 // Table is the subset of the platform's table service that claims use.
 type Table interface {
@@ -44,28 +44,28 @@
 	Claimant string    `cbor:"1,keyasint"`
 	BodyHash string    `cbor:"2,keyasint"`
 	Deadline time.Time `cbor:"3,keyasint"`
-	Answer   *Answer   `cbor:"4,keyasint,omitempty"`
+	Response *Response `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer is the stored first response, replayed to later requests with the same key.
-type Answer struct {
+// Response is the stored first response, replayed to later requests with the same key.
+type Response struct {
 	Status  int                 `cbor:"1,keyasint"`
 	Header  map[string][]string `cbor:"2,keyasint,omitempty"`
 	Body    []byte              `cbor:"3,keyasint,omitempty"`
 	Box     string              `cbor:"4,keyasint,omitempty"`
 	Version string              `cbor:"5,keyasint,omitempty"`
-	// Cut says that the body was too long to be stored.
-	Cut bool `cbor:"6,keyasint,omitempty"`
+	// Truncated says that the body was too long to be stored.
+	Truncated bool `cbor:"6,keyasint,omitempty"`
 }
 
-// HeldError says that a request is already claimed.
-type HeldError struct {
+// ClaimedError says that a request is already claimed.
+type ClaimedError struct {
 	Status Status
 	Claim  Claim
 }
 
 // Error returns a message with the status.
-func (e *HeldError) Error() string { return fmt.Sprintf("claimed before, status %d", e.Status) }
+func (e *ClaimedError) Error() string { return fmt.Sprintf("claimed before, status %d", e.Status) }
 
 // MismatchError says that the key was used before with a different request.
 type MismatchError struct{}
@@ -87,8 +87,8 @@
 	Table Table
 }
 
-// Take claims a team's key. A nil error means that only this attempt may run the request.
-func (c *Claims) Take(ctx context.Context, team, key string, claim Claim) error {
+// Acquire claims a team's key. A nil error means that only this attempt may run the request.
+func (c *Claims) Acquire(ctx context.Context, team, key string, claim Claim) error {
 	row, err := rowOf(team, key, StatusClaimed, claim)
 	if err != nil {
 		return &UnavailableError{Err: err}
@@ -107,10 +107,10 @@
 		return &MismatchError{}
 	case status == StatusNotRun:
 		return c.reacquire(ctx, row, claim)
-	case status == StatusClaimed && time.Now().After(existing.Deadline.Add(Grace)):
-		return &HeldError{Status: StatusUnknown, Claim: existing}
+	case status == StatusClaimed && time.Now().After(existing.Deadline.Add(DeadlineGrace)):
+		return &ClaimedError{Status: StatusUnknown, Claim: existing}
 	default:
-		return &HeldError{Status: status, Claim: existing}
+		return &ClaimedError{Status: status, Claim: existing}
 	}
 }
 
@@ -147,7 +147,7 @@
 	if existing.Claimant == claim.Claimant && status == StatusClaimed {
 		return nil
 	}
-	return &HeldError{Status: status, Claim: existing}
+	return &ClaimedError{Status: status, Claim: existing}
 }
 
 func rowOf(team, key string, status Status, claim Claim) (store.Row, error) {
--- a/claim/claims_test.go
+++ b/claim/claims_test.go
@@ -34,7 +34,7 @@
 			var wg sync.WaitGroup
 			for i := range 8 {
 				wg.Go(func() {
-					if claims.Take(context.Background(), "team", "key", newClaim(fmt.Sprint(i))) == nil {
+					if claims.Acquire(context.Background(), "team", "key", newClaim(fmt.Sprint(i))) == nil {
 						acquired.Add(1)
 					}
 				})
@@ -48,7 +48,7 @@
 }
 
 func TestTakeAgain(t *testing.T) {
-	response := &claim.Answer{Status: 200, Body: []byte("done")}
+	response := &claim.Response{Status: 200, Body: []byte("done")}
 	for name, tc := range map[string]struct {
 		first  claim.Claim
 		settle claim.Status
@@ -68,18 +68,18 @@
 		t.Run(name, func(t *testing.T) {
 			ctx := context.Background()
 			claims, _ := newClaims(t)
-			if err := claims.Take(ctx, "team", "key", tc.first); err != nil {
+			if err := claims.Acquire(ctx, "team", "key", tc.first); err != nil {
 				t.Fatal(err)
 			}
 			if tc.settle != 0 {
 				settled := tc.first
-				settled.Answer = response
+				settled.Response = response
 				if err := claims.Settle(ctx, "team", "key", tc.settle, settled); err != nil {
 					t.Fatal(err)
 				}
 			}
-			err := claims.Take(ctx, "team", "key", tc.second)
-			var held *claim.HeldError
+			err := claims.Acquire(ctx, "team", "key", tc.second)
+			var held *claim.ClaimedError
 			var mismatch *claim.MismatchError
 			switch {
 			case tc.runs && err != nil:
@@ -97,7 +97,7 @@
 	claims, table := newClaims(t)
 	table.Faults.SetOut(true)
 	var unavailable *claim.UnavailableError
-	if err := claims.Take(context.Background(), "team", "key", newClaim("a")); !errors.As(err, &unavailable) {
+	if err := claims.Acquire(context.Background(), "team", "key", newClaim("a")); !errors.As(err, &unavailable) {
 		t.Errorf("error %v, want UnavailableError while the table is down", err)
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -24,11 +24,11 @@
 // Until returns the time until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Skip advances the clock by suspended time.
-func Skip(d time.Duration) { suspended.Add(int64(d)) }
+// Advance advances the clock by suspended time.
+func Advance(d time.Duration) { suspended.Add(int64(d)) }
 
-// Watch detects suspensions. The zero value is ready to use and detects those after its first Look.
-type Watch struct {
+// SuspensionWatch detects suspensions. The zero value is ready to use and detects those after its first Check.
+type SuspensionWatch struct {
 	// read returns the times with and without suspensions; nil means the system clocks.
 	read func() (boottime, monotonic time.Duration, err error)
 
@@ -37,8 +37,8 @@
 	offset      time.Duration
 }
 
-// Look advances the clock by the time in which the machine was suspended since the previous Look, and returns that time.
-func (w *Watch) Look() time.Duration {
+// Check advances the clock by the time in which the machine was suspended since the previous Look, and returns that time.
+func (w *SuspensionWatch) Check() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	read := w.read
@@ -59,7 +59,7 @@
 	if first {
 		return 0
 	}
-	Skip(gap)
+	Advance(gap)
 	return gap
 }
 
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := 0
-			watch := Watch{read: func() (time.Duration, time.Duration, error) {
+			watch := SuspensionWatch{read: func() (time.Duration, time.Duration, error) {
 				r := test.readings[next]
 				next++
 				return r.boottime, r.monotonic, r.err
@@ -33,7 +33,7 @@
 			before, began := Now(), time.Now()
 			var reported time.Duration
 			for range test.readings {
-				reported += watch.Look()
+				reported += watch.Check()
 			}
 			advanced := Since(before) - time.Since(began)
 			if reported != test.skips || advanced < test.skips-10*time.Millisecond || advanced > test.skips+10*time.Millisecond {
@@ -45,9 +45,9 @@
 
 // TestSystemClocks checks that the system clocks can be read and show no suspension on a running machine.
 func TestSystemClocks(t *testing.T) {
-	var watch Watch
+	var watch SuspensionWatch
 	for range 3 {
-		if gap := watch.Look(); gap != 0 {
+		if gap := watch.Check(); gap != 0 {
 			t.Errorf("reported a suspension of %s, want none", gap)
 		}
 		time.Sleep(time.Millisecond)
--- a/entry/boxes.go
+++ b/entry/boxes.go
@@ -222,9 +222,9 @@
 func (b *boxes) reserveBox(service fleet.Service, pin string, tried map[string]time.Time) (id string, ok bool) {
 	now := time.Now()
 	all := b.candidates(service, pin, now)
-	candidates := route.Without(all, slices.Collect(maps.Keys(tried)))
+	candidates := route.Exclude(all, slices.Collect(maps.Keys(tried)))
 	if len(candidates) == 0 {
-		candidates = route.Without(all, b.notUpdatedSince(tried))
+		candidates = route.Exclude(all, b.notUpdatedSince(tried))
 	}
 	picked, ok := b.entry.cfg.Picker.Pick(b.entry.health.Filter(candidates, now))
 	if !ok {
--- a/entry/deliver.go
+++ b/entry/deliver.go
@@ -31,7 +31,7 @@
 func (e *interruptedError) Unwrap() error { return e.Err }
 
 // deliver sends the request to a box and the response to the caller; record, if set, receives a copy.
-func (e *Entry) deliver(ctx context.Context, w http.ResponseWriter, t *task, record *claim.Answer) error {
+func (e *Entry) deliver(ctx context.Context, w http.ResponseWriter, t *task, record *claim.Response) error {
 	for {
 		a, err := t.start(ctx)
 		if err != nil {
@@ -105,15 +105,15 @@
 }
 
 // recordTo copies a complete response to be replayed for retries of the request.
-func (a *attempt) recordTo(response *claim.Answer, body []byte) {
+func (a *attempt) recordTo(response *claim.Response, body []byte) {
 	if response == nil {
 		return
 	}
 	head := a.call.Head()
 	response.Status, response.Header = head.Status, head.Header
 	response.Box, response.Version = a.box, head.Version
-	response.Cut = len(body) > claim.MaxAnswer
-	if !response.Cut {
+	response.Truncated = len(body) > claim.MaxResponseBytes
+	if !response.Truncated {
 		response.Body = body
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -162,7 +162,7 @@
 	c := e.controllers[service]
 	e.mu.Unlock()
 	if c != nil {
-		c.Kick()
+		c.Dispatch()
 	}
 }
 
--- a/entry/idempotency.go
+++ b/entry/idempotency.go
@@ -24,11 +24,11 @@
 		Claimant: uuid.NewString(), BodyHash: t.req.hash(), Deadline: t.req.deadline.UTC(),
 	}
 	key := t.req.service.Name + "/" + t.req.idempotencyKey
-	if err := e.claims.Take(ctx, t.req.team.Name, key, c); err != nil {
+	if err := e.claims.Acquire(ctx, t.req.team.Name, key, c); err != nil {
 		e.answerClaimed(w, t.req, err)
 		return
 	}
-	var response claim.Answer
+	var response claim.Response
 	recorder := &bufferedWriter{w: w}
 	err := t.finalError(e.deliver(ctx, recorder, t, &response))
 	e.settle(t, key, c, response, err)
@@ -37,13 +37,13 @@
 }
 
 // settle records the outcome of a claimed request.
-func (e *Entry) settle(t *task, key string, c claim.Claim, response claim.Answer, err error) {
+func (e *Entry) settle(t *task, key string, c claim.Claim, response claim.Response, err error) {
 	status := claim.StatusUnknown
 	var notRunErr *relay.NotRunError
 	switch {
 	case err == nil:
 		status = claim.StatusDone
-		c.Answer = &response
+		c.Response = &response
 	case errors.As(err, &notRunErr):
 		status = claim.StatusNotRun
 	}
@@ -56,15 +56,15 @@
 
 // answerClaimed responds to a request that could not be claimed.
 func (e *Entry) answerClaimed(w http.ResponseWriter, req callerRequest, err error) {
-	var claimed *claim.HeldError
+	var claimed *claim.ClaimedError
 	var mismatch *claim.MismatchError
 	switch {
 	case errors.As(err, &mismatch):
 		e.refuse(w, notRun(http.StatusUnprocessableEntity, "once-key-reused", err.Error(), req.id))
 	case !errors.As(err, &claimed):
 		e.refuse(w, notRun(http.StatusServiceUnavailable, "platform-out", err.Error(), req.id).WithRetryAfter(outageRetryAfter))
-	case claimed.Status == claim.StatusDone && claimed.Claim.Answer != nil && !claimed.Claim.Answer.Cut:
-		replay(w, *claimed.Claim.Answer)
+	case claimed.Status == claim.StatusDone && claimed.Claim.Response != nil && !claimed.Claim.Response.Truncated:
+		replay(w, *claimed.Claim.Response)
 	case claimed.Status == claim.StatusDone:
 		e.refuse(w, problem.New(http.StatusConflict, "ran-before", "the request ran; its response was too long to store").
 			WithOutcome("ran").WithRequestID(req.id))
@@ -78,7 +78,7 @@
 }
 
 // replay sends the stored response.
-func replay(w http.ResponseWriter, response claim.Answer) {
+func replay(w http.ResponseWriter, response claim.Response) {
 	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
--- a/entry/run.go
+++ b/entry/run.go
@@ -211,8 +211,8 @@
 		priority += retryPriority
 	}
 	return admit.Request{
-		Team: t.req.team.Name, Weight: t.req.team.Weight, Priority: priority, Again: len(t.tried) > 0,
-		Deadline: t.req.deadline, Concurrency: t.req.team.Concurrency, Place: t.reserveBox,
+		Team: t.req.team.Name, Weight: t.req.team.Weight, Priority: priority, Retried: len(t.tried) > 0,
+		Deadline: t.req.deadline, Concurrency: t.req.team.Concurrency, Reserve: t.reserveBox,
 	}
 }
 
@@ -220,7 +220,7 @@
 func (t *task) finish() {
 	t.release()
 	t.releaseShare()
-	t.controller.Kick()
+	t.controller.Dispatch()
 }
 
 // releaseShare releases the team's share.
@@ -235,7 +235,7 @@
 func (t *task) nextBox(ctx context.Context) bool {
 	t.tried[t.box] = time.Now()
 	t.release()
-	if box, ok := t.controller.Again(t.admitRequest()); ok {
+	if box, ok := t.controller.Reserve(t.admitRequest()); ok {
 		t.box = box
 		return true
 	}
--- a/entry/stream.go
+++ b/entry/stream.go
@@ -45,7 +45,7 @@
 
 // stream copies a response to the caller as it arrives. An interrupted event stream resumes at another box of the same version if its
 // engine can; otherwise it ends with an error event, and any other response by closing the connection. None is truncated silently.
-func (e *Entry) stream(ctx context.Context, w http.ResponseWriter, t *task, a *attempt, record *claim.Answer) error {
+func (e *Entry) stream(ctx context.Context, w http.ResponseWriter, t *task, a *attempt, record *claim.Response) error {
 	writeHead(w, a, t.req.id)
 	s := &streamer{entry: e, w: w, task: t, current: a}
 	if !s.resumable() {
@@ -116,7 +116,7 @@
 	if _, err := s.w.Write(out); err != nil {
 		return err
 	}
-	if s.recorded != nil && s.recorded.Len() <= claim.MaxAnswer {
+	if s.recorded != nil && s.recorded.Len() <= claim.MaxResponseBytes {
 		s.recorded.Write(out)
 	}
 	return control.Flush()
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -49,7 +49,7 @@
 func TestPeersLearnOfRefusals(t *testing.T) {
 	env := newSiteEnv(t, 3)
 	now := time.Now()
-	refusal := admission.Refusal{Print: 7, First: now, Ends: now.Add(5 * time.Second)}
+	refusal := admission.Refusal{Fingerprint: 7, FirstTry: now, Deadline: now.Add(5 * time.Second)}
 	for _, e := range env.entries {
 		go func() { _ = e.peers.serve(t.Context()) }()
 	}
@@ -57,7 +57,7 @@
 	for i, e := range env.entries {
 		known := false
 		for deadline := now.Add(2 * time.Second); !known && time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-			_, known = e.returns.Take(refusal.Print, refusal.Ends, time.Now())
+			_, known = e.returns.Match(refusal.Fingerprint, refusal.Deadline, time.Now())
 		}
 		if !known {
 			t.Errorf("entry %d does not know the refused request", i)
--- a/forward/call.go
+++ b/forward/call.go
@@ -112,14 +112,14 @@
 	defer c.cancel()
 	defer c.finish()
 	c.ctx, c.wake, c.refusedAt = ctx, make(chan struct{}, 1), make(map[string]time.Time)
-	c.entry.budget.First(c.service.Name, c.started)
+	c.entry.budget.CountRequest(c.service.Name, c.started)
 	if c.quarantined() {
 		c.giveUp(ctx, nil, &QuarantinedError{})
 		return
 	}
 	c.entry.calls.add(c)
 	defer c.entry.calls.remove(c)
-	c.entry.admission.Of(c.service.Name).Note(c.admissionAsk(), c.started)
+	c.entry.admission.Of(c.service.Name).Record(c.admissionAsk(), c.started)
 	c.sinceFirst = c.sinceFirstTry()
 	var kept *response
 	var err error
@@ -197,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		if !budgeted && !c.entry.budget.Again(c.service.Name, clock.Now()) {
+		if !budgeted && !c.entry.budget.TakeRetry(c.service.Name, clock.Now()) {
 			return errRetryBudget
 		}
 		if c.start(ch) != nil {
@@ -262,12 +262,12 @@
 		return true
 	}
 	own := engine.TimeToFirstEvent(c.service.Engine, ch.load, c.ask.PromptTokens) - engine.TimeToFirstEvent(c.service.Engine, ch.load, 1)
-	return c.entry.admission.Of(c.service.Name).LetIn(c.admissionAsk(), c.sinceFirst, ch.first-own)
+	return c.entry.admission.Of(c.service.Name).Admit(c.admissionAsk(), c.sinceFirst, ch.first-own)
 }
 
 // admissionAsk describes the request to admission control.
-func (c *call) admissionAsk() admission.Ask {
-	return admission.Ask{Kind: c.route.Name, Goal: c.route.Goal}
+func (c *call) admissionAsk() admission.Request {
+	return admission.Request{Route: c.route.Name, Goal: c.route.Goal}
 }
 
 // model returns the requested model, or else the service's only one.
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -54,7 +54,7 @@
 	upstreams        upstreams
 	budget           *retry.Budget
 	admission        admission.Services
-	returns          admission.Returns
+	returns          admission.RetryDetector
 	peers            *peerNotifier
 	boxLinks         *boxLinks
 	reader           *listReader
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -52,7 +52,7 @@
 
 // add records a request that this entry refused and queues it for the other entries.
 func (pn *peerNotifier) add(refusal admission.Refusal, now time.Time) {
-	pn.entry.returns.Note(refusal, now)
+	pn.entry.returns.Record(refusal, now)
 	pn.mu.Lock()
 	if len(pn.pending) < maxPendingRefusals {
 		pn.pending = append(pn.pending, refusal)
@@ -68,7 +68,7 @@
 func (pn *peerNotifier) apply(msg *link.RefusedRequests) {
 	now := clock.Now()
 	for _, r := range msg.Refusals {
-		pn.entry.returns.Note(admission.Refusal{Print: r.Fingerprint, First: now.Add(-r.Age), Ends: now.Add(r.Remaining)}, now)
+		pn.entry.returns.Record(admission.Refusal{Fingerprint: r.Fingerprint, FirstTry: now.Add(-r.Age), Deadline: now.Add(r.Remaining)}, now)
 	}
 }
 
@@ -102,7 +102,7 @@
 	now := clock.Now()
 	msg := &link.RefusedRequests{Refusals: make([]link.Refusal, len(refusals))}
 	for i, r := range refusals {
-		msg.Refusals[i] = link.Refusal{Fingerprint: r.Print, Age: now.Sub(r.First), Remaining: r.Ends.Sub(now)}
+		msg.Refusals[i] = link.Refusal{Fingerprint: r.Fingerprint, Age: now.Sub(r.FirstTry), Remaining: r.Deadline.Sub(now)}
 	}
 	for _, host := range pn.entry.reader.peerHosts() {
 		pn.notifyPeer(ctx, host, msg)
@@ -180,7 +180,7 @@
 	if !c.tracked() {
 		return 0
 	}
-	first, isRetry := c.entry.returns.Take(c.retryHash(), c.callerDeadline(), c.started)
+	first, isRetry := c.entry.returns.Match(c.retryHash(), c.callerDeadline(), c.started)
 	if !isRetry {
 		return 0
 	}
@@ -190,7 +190,7 @@
 // announceRefusal lets the entries of the site recognise the request when its caller retries.
 func (c *call) announceRefusal() {
 	if c.tracked() {
-		c.entry.peers.add(admission.Refusal{Print: c.retryHash(), First: c.started.Add(-c.sinceFirst), Ends: c.callerDeadline()}, clock.Now())
+		c.entry.peers.add(admission.Refusal{Fingerprint: c.retryHash(), FirstTry: c.started.Add(-c.sinceFirst), Deadline: c.callerDeadline()}, clock.Now())
 	}
 }
 
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -83,7 +83,7 @@
 // know all others yet, it is at least the default.
 func (e *Entry) limitSharers() int {
 	if clock.Since(e.startedAt) < entryCountDelay {
-		return max(e.budget.Entries(), retry.UnknownEntries)
+		return max(e.budget.Entries(), retry.DefaultEntries)
 	}
 	return e.budget.Entries()
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -20,8 +20,8 @@
 			server := newFakeServer(t, func(net.Conn, int, *http.Request) bool { time.Sleep(4 * time.Second); return false })
 			w := newTestEnv(t, false, server.address)
 			time.AfterFunc(200*time.Millisecond, func() {
-				clock.Skip(test.suspended)
-				t.Cleanup(func() { clock.Skip(-test.suspended) })
+				clock.Advance(test.suspended)
+				t.Cleanup(func() { clock.Advance(-test.suspended) })
 				w.entry.Resumed()
 			})
 			began := time.Now()
@@ -38,8 +38,8 @@
 func TestSecondSendsHaveTheTimeThatIsLeft(t *testing.T) {
 	lost := func(conn net.Conn, _ int, _ *http.Request) bool {
 		time.Sleep(100 * time.Millisecond)
-		clock.Skip(time.Second)
-		t.Cleanup(func() { clock.Skip(-time.Second) })
+		clock.Advance(time.Second)
+		t.Cleanup(func() { clock.Advance(-time.Second) })
 		return reset(conn)
 	}
 	both := firstThen(lost, respondOK)
--- a/internal/daemoncmd/suspend.go
+++ b/internal/daemoncmd/suspend.go
@@ -20,11 +20,11 @@
 // watchSuspensions returns a component that advances the clock after each suspension and then notifies the daemon.
 func watchSuspensions(logger log.Interface, d daemon) func(ctx context.Context) error {
 	return func(ctx context.Context) error {
-		var watch clock.Watch
+		var watch clock.SuspensionWatch
 		ticker := time.NewTicker(suspensionCheckInterval)
 		defer ticker.Stop()
 		for {
-			if gap := watch.Look(); gap > 0 {
+			if gap := watch.Check(); gap > 0 {
 				logger.WithField("for_ms", gap.Milliseconds()).Warn("daemon: the machine was suspended")
 				if r, ok := d.(resumer); ok {
 					r.Resumed()
--- a/lab/rig.go
+++ b/lab/rig.go
@@ -376,7 +376,7 @@
 		Listener: b.Link.Listener(inner), Advertise: local.Addr().String(), UpstreamURL: b.upstreamURL,
 		Params: b.rig.cfg.Params, Ledger: ledger.New(table), Table: table, Origin: b.rig.objects(pacer.Dialer(b.Link.Dial)), Pacer: pacer,
 		List: b.rig.liveList(), ListInterval: rigListInterval, LinkClient: pooledClient(b.Link.Dial), Checks: b.rig.Checks,
-		Slots: b.rig.cfg.Slots, Resumes: true,
+		Slots: b.rig.cfg.Slots, ResumesStreams: true,
 	})
 	ctx, cancel := context.WithCancel(b.rig.ctx)
 	done := make(chan struct{})
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -42,19 +42,19 @@
 // still count, but are not known any more.
 const startupSlackFraction = 0.25
 
-// UnknownEntries is the number of entries assumed to share a budget until the real number is known.
-const UnknownEntries = 20
+// DefaultEntries is the number of entries assumed to share a budget until the real number is known.
+const DefaultEntries = 20
 
 // NewBudget returns a budget that allows, over all entries and per window, ratio retries per request plus slack.
 func NewBudget(ratio float64, slack int, window time.Duration) *Budget {
-	return &Budget{ratio: ratio, slack: slack, window: window, entries: UnknownEntries, byService: make(map[string]*windowCounts)}
+	return &Budget{ratio: ratio, slack: slack, window: window, entries: DefaultEntries, byService: make(map[string]*windowCounts)}
 }
 
 // StartedAt sets when the entry started; an earlier run may have used part of the first window's budget.
 func (b *Budget) StartedAt(at time.Time) { b.startedAt = at }
 
-// First counts the first attempt of a request to a service.
-func (b *Budget) First(service string, now time.Time) {
+// CountRequest counts the first attempt of a request to a service.
+func (b *Budget) CountRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts(service, now).requests[0]++
@@ -74,8 +74,8 @@
 	return b.entries
 }
 
-// Again takes one retry from a service's budget and reports whether one was left.
-func (b *Budget) Again(service string, now time.Time) bool {
+// TakeRetry takes one retry from a service's budget and reports whether one was left.
+func (b *Budget) TakeRetry(service string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.counts(service, now)
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -23,7 +23,7 @@
 			sent := 0
 			spend := func(b *Budget, at time.Time) {
 				for range slack {
-					if b.Again("s", at) {
+					if b.TakeRetry("s", at) {
 						sent++
 					}
 				}
@@ -67,14 +67,14 @@
 			take := func(at time.Time) int {
 				n := 0
 				for range test.retries {
-					if b.Again("s", at) {
+					if b.TakeRetry("s", at) {
 						n++
 					}
 				}
 				return n
 			}
 			for range test.requests {
-				b.First("s", start)
+				b.CountRequest("s", start)
 			}
 			got := take(start)
 			if test.after > 0 {
--- a/route/picker.go
+++ b/route/picker.go
@@ -43,7 +43,7 @@
 	return candidates[i], true
 }
 
-// Without returns the candidates whose IDs are not in tried.
-func Without(candidates []Candidate, tried []string) []Candidate {
+// Exclude returns the candidates whose IDs are not in tried.
+func Exclude(candidates []Candidate, tried []string) []Candidate {
 	return slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return slices.Contains(tried, c.ID) })
 }
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -335,8 +335,8 @@
 	v.ObservePeerTarget(contract.Target{Model: "m", Version: 2}, 0)
 	before, _ := v.VersionDeadline("m", 1)
 	left := clock.Until(before)
-	clock.Skip(5 * time.Second)
-	t.Cleanup(func() { clock.Skip(-5 * time.Second) })
+	clock.Advance(5 * time.Second)
+	t.Cleanup(func() { clock.Advance(-5 * time.Second) })
 	after, older := v.VersionDeadline("m", 1)
 	if now := clock.Until(after); !older || now > left-5*time.Second {
 		t.Errorf("%s left before a suspension of 5 s, %s after it", left, now)
