--- a/box/box.go
+++ b/box/box.go
@@ -155,7 +155,7 @@
 
 // swarmMembers returns the live boxes of this box's service; none while the list has not been read.
 func (b *Box) swarmMembers() []swarm.Member {
-	if !b.members.Read() && time.Since(b.startedAt) < listTimeout {
+	if !b.members.Synced() && time.Since(b.startedAt) < listTimeout {
 		return nil
 	}
 	stopped := b.follower.Config().Stopped
--- a/box/http.go
+++ b/box/http.go
@@ -44,7 +44,7 @@
 	writeGauge(w, "coralstair_peer_bytes_total", progress.PeerBytes)
 	writeGauge(w, "coralstair_given_bytes_total", progress.GivenBytes)
 	writeGauge(w, "coralstair_chunks_rejected_total", int64(progress.Rejected))
-	writeGauge(w, "coralstair_wasted_bytes_total", b.transfer.Wasted())
+	writeGauge(w, "coralstair_wasted_bytes_total", b.transfer.DiscardedBytes())
 	writeGauge(w, "coralstair_revision", int64(b.follower.Config().Revision))
 }
 
--- a/box/loader.go
+++ b/box/loader.go
@@ -55,7 +55,7 @@
 		} else {
 			l.stepModel(ctx)
 		}
-		changed, transferred := l.box.follower.Changed(), l.box.transfer.Changed()
+		changed, transferred := l.box.follower.Changed(), l.box.transfer.Done()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
--- a/box/peers.go
+++ b/box/peers.go
@@ -156,7 +156,7 @@
 		case *link.Heartbeat:
 			p.box.syncRevision(conn, m.Revision)
 		case *link.Config:
-			p.box.follower.Offer(m.Config)
+			p.box.follower.Update(m.Config)
 		default:
 			peer.Handle(msg)
 		}
--- a/box/phase_test.go
+++ b/box/phase_test.go
@@ -96,7 +96,7 @@
 		t.Error("idle with a request in flight")
 	default:
 	}
-	if g.Open(v2, checks) || len(checks.Broken()) != 1 {
+	if g.Open(v2, checks) || len(checks.Violations()) != 1 {
 		t.Error("another version was opened under a request, or the violation was not recorded")
 	}
 	idle := g.Idle()
--- a/box/session.go
+++ b/box/session.go
@@ -72,7 +72,7 @@
 		case *link.Heartbeat:
 			b.syncRevision(conn, m.Revision)
 		case *link.Config:
-			b.follower.Offer(m.Config)
+			b.follower.Update(m.Config)
 		default:
 			server.Handle(msg)
 		}
@@ -81,7 +81,7 @@
 
 // syncRevision records a peer's revision and sends the configuration if the peer's is older.
 func (b *Box) syncRevision(conn *link.Conn, revision fleet.Revision) {
-	if _, older := b.follower.Heard(revision); older {
+	if _, older := b.follower.ObservePeerRevision(revision); older {
 		_ = conn.Send(conn.Context(), &link.Config{Config: b.follower.Config()})
 	}
 }
@@ -213,7 +213,7 @@
 // relayResponse relays the upstream's response.
 func (b *Box) relayResponse(resp *relay.Responder, upstreamResp *http.Response, served ServedVersion) link.End {
 	head := link.Head{
-		Status: upstreamResp.StatusCode, Header: upstream.CleanHeader(upstreamResp.Header),
+		Status: upstreamResp.StatusCode, Header: upstream.EndToEndHeader(upstreamResp.Header),
 		Version: served.Version, Digest: served.Digest,
 	}
 	if err := resp.Head(head); err != nil {
@@ -224,7 +224,7 @@
 		buf := make([]byte, bodyBufferBytes)
 		n, err := upstreamResp.Body.Read(buf)
 		if n > 0 && stream {
-			resp.Stream()
+			resp.ClearDeadline()
 		}
 		if n > 0 {
 			b.pacer.Live(n)
--- a/contract/server.go
+++ b/contract/server.go
@@ -28,8 +28,8 @@
 	Loaded map[string]Version
 }
 
-// Runs returns the version of a model that the server runs, 0 if none; an empty name matches any model.
-func (s *Server) Runs(model string) Version {
+// LoadedVersion returns the version of a model that the server runs, 0 if none; an empty name matches any model.
+func (s *Server) LoadedVersion(model string) Version {
 	if model != "" {
 		return s.Loaded[model]
 	}
@@ -45,14 +45,14 @@
 		s.Slots == other.Slots && s.Leaving == other.Leaving && maps.Equal(s.Loaded, other.Loaded)
 }
 
-// IsAnotherLife reports whether two start times are of different incarnations of a server; an unknown one matches any.
-func IsAnotherLife(born, other int64) bool {
+// DifferentIncarnations reports whether two start times are of different incarnations of a server; an unknown one matches any.
+func DifferentIncarnations(born, other int64) bool {
 	return born != 0 && other != 0 && born != other
 }
 
-// Changes returns the difference of two lists of servers by ID: the servers that are new or differ, and the IDs of those that are
+// DiffServers returns the difference of two lists of servers by ID: the servers that are new or differ, and the IDs of those that are
 // gone, both in no order.
-func Changes(old, list map[string]Server) (present []Server, gone []string) {
+func DiffServers(old, list map[string]Server) (present []Server, gone []string) {
 	for id, server := range list {
 		if known, ok := old[id]; !ok || !known.Equal(server) {
 			present = append(present, server)
--- a/dynamo/objects.go
+++ b/dynamo/objects.go
@@ -19,11 +19,11 @@
 
 // ObjectsConfig configures the client of the object store.
 type ObjectsConfig struct {
-	Endpoint string
-	Bucket   string
-	Region   string
-	Access   Credentials
-	Client   *http.Client
+	Endpoint    string
+	Bucket      string
+	Region      string
+	Credentials Credentials
+	Client      *http.Client
 }
 
 // Objects is a client of the platform's object store, the origin of weights.
@@ -37,7 +37,7 @@
 	client := s3.New(s3.Options{
 		BaseEndpoint:               aws.String(cfg.Endpoint),
 		Region:                     cfg.Region,
-		Credentials:                cfg.Access,
+		Credentials:                cfg.Credentials,
 		HTTPClient:                 clientOrDefault(cfg.Client),
 		UsePathStyle:               true,
 		RetryMaxAttempts:           objectAttempts,
--- a/dynamo/table.go
+++ b/dynamo/table.go
@@ -33,11 +33,11 @@
 
 // TableConfig configures the client of the table service.
 type TableConfig struct {
-	Endpoint string
-	Table    string
-	Region   string
-	Access   Credentials
-	Client   *http.Client
+	Endpoint    string
+	Table       string
+	Region      string
+	Credentials Credentials
+	Client      *http.Client
 }
 
 // Credentials are an access key for the platform's services.
@@ -59,7 +59,7 @@
 	client := dynamodb.New(dynamodb.Options{
 		BaseEndpoint:     aws.String(cfg.Endpoint),
 		Region:           cfg.Region,
-		Credentials:      cfg.Access,
+		Credentials:      cfg.Credentials,
 		HTTPClient:       clientOrDefault(cfg.Client),
 		RetryMaxAttempts: tableAttempts,
 	})
--- a/entry/boxes.go
+++ b/entry/boxes.go
@@ -96,7 +96,7 @@
 		if member.Role != membership.RoleBox {
 			continue
 		}
-		report := operate.BoxReport{ID: member.ID, Site: member.Site, Service: member.Service, Heard: -1, Leaving: member.Leaving}
+		report := operate.BoxReport{ID: member.ID, Site: member.Site, Service: member.Service, ReportAge: -1, Leaving: member.Leaving}
 		if l := b.links[member.ID]; l != nil && l.heartbeat != nil {
 			report = l.report(report, time.Now())
 		}
@@ -289,7 +289,7 @@
 		case *link.Heartbeat:
 			b.handleHeartbeat(l, m)
 		case *link.Config:
-			b.entry.follower.Offer(m.Config)
+			b.entry.follower.Update(m.Config)
 		case *link.End:
 			b.handleEnd(l, m)
 			l.client.Handle(msg)
@@ -397,7 +397,7 @@
 func (l *boxLink) report(report operate.BoxReport, now time.Time) operate.BoxReport {
 	report.State, report.Version = l.heartbeat.Service.State, l.heartbeat.Service.Version
 	report.Revision, report.Load = l.heartbeat.Revision, l.heartbeat.Load
-	report.Heard = now.Sub(l.heartbeatAt)
+	report.ReportAge = now.Sub(l.heartbeatAt)
 	report.Leaving = report.Leaving || l.heartbeat.Leaving
 	report.Have, report.Chunks = l.heartbeat.Progress.Have, l.heartbeat.Progress.Chunks
 	report.OriginBytes, report.PeerBytes = l.heartbeat.Progress.OriginBytes, l.heartbeat.Progress.PeerBytes
--- a/entry/boxfixture_test.go
+++ b/entry/boxfixture_test.go
@@ -153,7 +153,7 @@
 	checks := new(invariant.Recorder)
 	w := &testEnv{t: t, list: new(fakeList)}
 	w.entry = New(Config{ID: "e", Fleet: fakeFleet, Checks: checks, List: w.list, ListInterval: listInterval})
-	w.entry.follower.Offer(fleet.Config{
+	w.entry.follower.Update(fleet.Config{
 		Fleet: fakeFleet, Revision: 1,
 		Services: map[string]fleet.Service{fakeService: {Name: fakeService, Kind: fleet.KindPlain}},
 	})
@@ -167,7 +167,7 @@
 		go func() { _ = part(t.Context()) }()
 	}
 	t.Cleanup(func() {
-		for _, broken := range checks.Broken() {
+		for _, broken := range checks.Violations() {
 			t.Error(broken)
 		}
 	})
--- a/entry/caller.go
+++ b/entry/caller.go
@@ -147,7 +147,7 @@
 		return req, false
 	}
 	req.body = body
-	req.header = upstream.CleanHeader(r.Header)
+	req.header = upstream.EndToEndHeader(r.Header)
 	req.header.Set(HeaderRequestID, req.id)
 	req.header.Del(HeaderResume)
 	return req, true
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -65,7 +65,7 @@
 		quarantine:  quarantine.New(quarantine.Options{Entry: cfg.ID}),
 	}
 	e.boxes = newBoxes(e)
-	e.executor = &operate.Executor{Fleet: cfg.Fleet, Ledger: cfg.Ledger, View: e, Accept: e.applyConfig}
+	e.executor = &operate.Executor{Fleet: cfg.Fleet, Ledger: cfg.Ledger, Reporter: e, OnAccepted: e.applyConfig}
 	return e
 }
 
@@ -127,7 +127,7 @@
 
 // applyConfig applies a configuration that this entry has written to the ledger.
 func (e *Entry) applyConfig(cfg fleet.Config) {
-	e.follower.Offer(cfg)
+	e.follower.Update(cfg)
 }
 
 // controller returns the admission controller of a service and creates it if needed.
@@ -144,7 +144,7 @@
 
 // syncRevision records a box's revision and sends it the configuration if its revision is older.
 func (e *Entry) syncRevision(conn *link.Conn, revision fleet.Revision) {
-	if _, older := e.follower.Heard(revision); older {
+	if _, older := e.follower.ObservePeerRevision(revision); older {
 		_ = conn.Send(conn.Context(), &link.Config{Config: e.follower.Config()})
 	}
 }
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -115,7 +115,7 @@
 	)
 	switch {
 	case errors.As(err, &syntax):
-		return problem.New(http.StatusBadRequest, "syntax", err.Error()).WithPlace(syntax.Line, syntax.Column)
+		return problem.New(http.StatusBadRequest, "syntax", err.Error()).WithPosition(syntax.Line, syntax.Column)
 	case errors.As(err, &conflict):
 		return problem.New(http.StatusConflict, "conflict", err.Error()).WithOutcome("not-run")
 	case errors.As(err, &unknown):
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -30,9 +30,9 @@
 // recordExit records an upstream's exit if that is why the request was lost.
 func (t *task) recordExit(err error) {
 	var lost *relay.LostError
-	if errors.As(err, &lost) && lost.Ended != "" {
-		t.entry.log.WithField("life", lost.Ended).WithField("request", t.req.id).Warn("entry: an upstream ended under a request")
-		t.entry.quarantine.RecordExit(lost.Ended, []quarantine.Fingerprint{t.req.fingerprint()})
+	if errors.As(err, &lost) && lost.EndedIncarnation != "" {
+		t.entry.log.WithField("life", lost.EndedIncarnation).WithField("request", t.req.id).Warn("entry: an upstream ended under a request")
+		t.entry.quarantine.RecordExit(lost.EndedIncarnation, []quarantine.Fingerprint{t.req.fingerprint()})
 	}
 }
 
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -57,9 +57,9 @@
 // Error returns the request's ID.
 func (e *NotFoundError) Error() string { return "no line names request " + e.ID }
 
-// Story writes a request's lines by time, and the lines with what its entry and boxes then knew, with their age at the end of
+// WriteTimeline writes a request's lines by time, and the lines with what its entry and boxes then knew, with their age at the end of
 // the request.
-func (l *Log) Story(w io.Writer, id string) error {
+func (l *Log) WriteTimeline(w io.Writer, id string) error {
 	slices.SortStableFunc(l.lines, func(a, b line) int { return a.at.Compare(b.at) })
 	var own []line
 	for _, ln := range l.lines {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			var story strings.Builder
-			err := l.Story(&story, test.id)
+			err := l.WriteTimeline(&story, test.id)
 			if test.want == nil {
 				if !errors.As(err, new(*NotFoundError)) {
 					t.Errorf("error %v, want a NotFoundError", err)
--- a/fill/box.go
+++ b/fill/box.go
@@ -135,7 +135,7 @@
 // serverID returns the id under which the server on this machine is listed; empty while it is not listed.
 func (b *Box) serverID() string {
 	for _, server := range b.cfg.View.Servers() {
-		if server.Address == b.cfg.Machine.UpstreamAt && server.MissingSince.IsZero() {
+		if server.Address == b.cfg.Machine.UpstreamAddress && server.MissingSince.IsZero() {
 			return server.ID
 		}
 	}
--- a/fill/engine.go
+++ b/fill/engine.go
@@ -23,7 +23,7 @@
 	// Slowdown is the factor by which the server is slower than usual.
 	Slowdown float64
 	// Pushback is what the server asks of its callers.
-	Pushback pushback.Word
+	Pushback pushback.Signal
 }
 
 // Order tells the server to load a staged version, provided that its count of accepted orders still is Seq.
--- a/fill/links.go
+++ b/fill/links.go
@@ -229,7 +229,7 @@
 	}()
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := link.Dial(dialCtx, ls.client, ls.box.cfg.Machine.LinkAt(member.ID), nil)
+	conn, err := link.Dial(dialCtx, ls.client, ls.box.cfg.Machine.LinkAddress(member.ID), nil)
 	if err != nil {
 		return
 	}
--- a/fill/pushback_test.go
+++ b/fill/pushback_test.go
@@ -25,15 +25,15 @@
 		time.Sleep(time.Millisecond)
 	}
 	for name, test := range map[string]struct {
-		word   pushback.Word
+		word   pushback.Signal
 		urgent bool
 	}{
 		"nothing": {},
-		"leaving": {pushback.Word{Leaving: true}, true},
-		"a limit": {pushback.Word{Limited: true, Limit: 2}, true},
+		"leaving": {pushback.Signal{Leaving: true}, true},
+		"a limit": {pushback.Signal{Limited: true, Limit: 2}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := New(Config{View: v, Machine: machine.Machine{Address: "127.0.7.2", UpstreamAt: "127.0.7.2:1"}, Log: log.Log})
+			b := New(Config{View: v, Machine: machine.Machine{Address: "127.0.7.2", UpstreamAddress: "127.0.7.2:1"}, Log: log.Log})
 			b.setState(State{Pushback: test.word}, nil)
 			report, ok := b.newReport()
 			if !ok || report.Leaving != test.word.Leaving || report.Limited != test.word.Limited || report.Limit != test.word.Limit {
--- a/fill/restart.go
+++ b/fill/restart.go
@@ -12,7 +12,7 @@
 // isRestart reports whether the server restarted between two states: its start time differs, or its count of orders went
 // back.
 func (s State) isRestart(next State) bool {
-	return contract.IsAnotherLife(s.Born, next.Born) || next.Seq < s.Seq
+	return contract.DifferentIncarnations(s.Born, next.Born) || next.Seq < s.Seq
 }
 
 // resetAfterRestart drops what was known of the server before its restart: the order it accepted, its turn, and that its
--- a/fill/restart_test.go
+++ b/fill/restart_test.go
@@ -77,7 +77,7 @@
 	for len(v.Servers()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	b := New(Config{View: v, Machine: machine.Machine{Address: "127.0.7.1", UpstreamAt: "127.0.7.1:1"}, Log: log.Log})
+	b := New(Config{View: v, Machine: machine.Machine{Address: "127.0.7.1", UpstreamAddress: "127.0.7.1:1"}, Log: log.Log})
 	b.setState(State{Born: 7}, nil)
 	if report, ok := b.newReport(); !ok || report.Born != 7 {
 		t.Errorf("%+v, %t", report, ok)
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -83,9 +83,9 @@
 	v := view.New(source, view.Options{Log: logger, VersionBound: s.bound})
 	m := machine.Machine{
 		ID: fmt.Sprint("box", i), Address: s.host(i), Site: fmt.Sprint("site", i%2), Service: "s",
-		UpstreamAt: s.host(i) + ":1", LinkPort: s.port, LinkRate: 1e8,
+		UpstreamAddress: s.host(i) + ":1", LinkPort: s.port, LinkRate: 1e8,
 	}
-	listener, err := net.Listen("tcp", m.LinkAt(m.Address))
+	listener, err := net.Listen("tcp", m.LinkAddress(m.Address))
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/follower/follower.go
+++ b/follower/follower.go
@@ -75,16 +75,16 @@
 	return f.cfg
 }
 
-// Heard records that a peer reported its revision, and reports whether it is newer or older than the local one.
-func (f *Follower) Heard(revision fleet.Revision) (newer, older bool) {
+// ObservePeerRevision records that a peer reported its revision, and reports whether it is newer or older than the local one.
+func (f *Follower) ObservePeerRevision(revision fleet.Revision) (newer, older bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastPeerReport = time.Now()
 	return revision > f.cfg.Revision, revision < f.cfg.Revision
 }
 
-// Offer applies a configuration if it is newer and reports whether it was.
-func (f *Follower) Offer(cfg fleet.Config) bool {
+// Update applies a configuration if it is newer and reports whether it was.
+func (f *Follower) Update(cfg fleet.Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if cfg.Fleet != f.cfg.Fleet || cfg.Revision <= f.cfg.Revision {
@@ -128,7 +128,7 @@
 		log.WithError(err).Warn("follower: configuration not read")
 		return
 	}
-	if f.Offer(cfg) {
+	if f.Update(cfg) {
 		log.WithField("revision", cfg.Revision).Debug("follower: configuration taken from the table")
 	}
 }
--- a/forward/boxlinks.go
+++ b/forward/boxlinks.go
@@ -151,7 +151,7 @@
 		if err != nil {
 			continue
 		}
-		address := bl.entry.cfg.Machine.LinkAt(host)
+		address := bl.entry.cfg.Machine.LinkAddress(host)
 		busy[address] = busy[address] || inUse
 		if weight > 0 {
 			wanted[address] = weight
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -54,7 +54,7 @@
 		reply.Pushback.Limited, reply.Pushback.Limit = true, limit
 	}
 	if rest, err := time.ParseDuration(resp.Header.Get("Rest")); err == nil {
-		reply.Pushback.Rest = rest
+		reply.Pushback.Pause = rest
 	}
 	return reply
 }
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -82,7 +82,7 @@
 		msgs = append(msgs, &link.Declared{Revision: cfg.Revision, Services: services})
 	}
 	msg := &link.Servers{Reset: f.servers == nil}
-	msg.Present, msg.Gone = contract.Changes(f.servers, servers)
+	msg.Present, msg.Gone = contract.DiffServers(f.servers, servers)
 	if msg.Reset || len(msg.Present)+len(msg.Gone) > 0 {
 		msgs = append(msgs, msg)
 	}
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -25,7 +25,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
-	case !contract.IsAnotherLife(born, u.born):
+	case !contract.DifferentIncarnations(born, u.born):
 		return sameIncarnation
 	case born > u.born:
 		return newerIncarnation
@@ -39,7 +39,7 @@
 func (u *upstream) isReplacedBy(listed int64) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return contract.IsAnotherLife(listed, u.listedBorn) && contract.IsAnotherLife(listed, u.born)
+	return contract.DifferentIncarnations(listed, u.listedBorn) && contract.DifferentIncarnations(listed, u.born)
 }
 
 // successor returns the upstream of the server's next incarnation.
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -134,7 +134,7 @@
 func (pn *peerNotifier) dial(ctx context.Context, host string) *link.Conn {
 	ctx, cancel := context.WithTimeout(ctx, peerDialTimeout)
 	defer cancel()
-	conn, err := link.Dial(ctx, pn.entry.boxLinks.client, pn.entry.cfg.Machine.LinkAt(host), nil)
+	conn, err := link.Dial(ctx, pn.entry.boxLinks.client, pn.entry.cfg.Machine.LinkAddress(host), nil)
 	if err != nil {
 		return nil
 	}
--- a/forward/pick_test.go
+++ b/forward/pick_test.go
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			taken := 0
 			for range 1000 {
-				if pick(test.offers, spread.Sent{Unseen: test.unseen, Over: test.unseen}, adds).server.ID == serverName(0) {
+				if pick(test.offers, spread.InFlight{Unreported: test.unseen, Window: test.unseen}, adds).server.ID == serverName(0) {
 					taken++
 				}
 			}
@@ -57,7 +57,7 @@
 		"few requests":             {requestCounts{servers: 12, own: 2, others: 4}, 1, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := test.at.estimateInFlight(usual).Unseen; got < test.least || got > test.most {
+			if got := test.at.estimateInFlight(usual).Unreported; got < test.least || got > test.most {
 				t.Errorf("%.2f unseen, want %.0f to %.0f", got, test.least, test.most)
 			}
 		})
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -29,18 +29,18 @@
 	}
 	pushbacks.Inc()
 	e.log.WithFields(log.Fields{
-		"server": a.choice.server.ID, "leaving": signal.Leaving, "rest_ms": signal.Rest.Milliseconds(), "limited": signal.Limited, "limit": signal.Limit,
+		"server": a.choice.server.ID, "leaving": signal.Leaving, "rest_ms": signal.Pause.Milliseconds(), "limited": signal.Limited, "limit": signal.Limit,
 	}).Info("forward: a server asks its callers for something else")
 }
 
 // applyPushback applies the pushback in the response to a request sent at that time, and reports whether it has changed.
-func (u *upstream) applyPushback(signal pushback.Word, sent, now time.Time, entries int) bool {
+func (u *upstream) applyPushback(signal pushback.Signal, sent, now time.Time, entries int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	changed := signal != u.lastPushback
 	u.lastPushback = signal
 	u.announcedLeave = u.announcedLeave || signal.Leaving
-	if until := now.Add(signal.Rest); signal.Rest > 0 && until.After(u.pausedUntil) {
+	if until := now.Add(signal.Pause); signal.Pause > 0 && until.After(u.pausedUntil) {
 		u.pausedUntil = until
 	}
 	u.applyLimit(signal, sent, now, entries)
@@ -56,14 +56,14 @@
 func (u *upstream) applyReportedPushback(report link.Report, entries int, now time.Time) {
 	u.announcedLeave = u.announcedLeave || report.Leaving
 	if report.Limited || u.report.Limited {
-		signal := pushback.Word{Limited: report.Limited, Limit: report.Limit}
+		signal := pushback.Signal{Limited: report.Limited, Limit: report.Limit}
 		u.applyLimit(signal, now, now, entries)
 	}
 }
 
 // applyLimit sets or lifts the limit, by the response to a request sent at that time. mu is held.
-func (u *upstream) applyLimit(signal pushback.Word, sent, now time.Time, entries int) {
-	u.limit = u.limit.With(signal, pushback.Hearing{Sent: sent, At: now, Share: u.limitShare(entries), Phase: rand.Float64()})
+func (u *upstream) applyLimit(signal pushback.Signal, sent, now time.Time, entries int) {
+	u.limit = u.limit.With(signal, pushback.Receipt{Sent: sent, Received: now, Share: u.limitShare(entries), Phase: rand.Float64()})
 }
 
 // availableIn returns the time until the server accepts another request of this entry; 0 for now. Servers that ask
--- a/forward/pushback_test.go
+++ b/forward/pushback_test.go
@@ -186,8 +186,8 @@
 		t.Run(name, func(t *testing.T) {
 			up := &upstream{}
 			up.applyListing(view.ListedServer{Server: contract.Server{ID: id}}, 1)
-			up.applyPushback(pushback.Word{Leaving: true}, time.Now(), time.Now(), 1)
-			up.applyPushback(pushback.Word{}, time.Now(), time.Now(), 1)
+			up.applyPushback(pushback.Signal{Leaving: true}, time.Now(), time.Now(), 1)
+			up.applyPushback(pushback.Signal{}, time.Now(), time.Now(), 1)
 			for _, leaving := range rows {
 				up.applyListing(view.ListedServer{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
 			}
@@ -214,7 +214,7 @@
 		t.Run(name, func(t *testing.T) {
 			var us upstreams
 			us.update(listed(1))
-			us.byServer(serverName(0)).applyPushback(pushback.Word{Leaving: true}, time.Now(), time.Now(), 1)
+			us.byServer(serverName(0)).applyPushback(pushback.Signal{Leaving: true}, time.Now(), time.Now(), 1)
 			us.update(nil)
 			us.update(listed(test.again))
 			if got := us.byServer(serverName(0)).isLeaving(); got != test.want {
@@ -228,14 +228,14 @@
 	limited, leaving, none := link.Report{Limited: true, Limit: 0.01}, link.Report{Leaving: true}, link.Report{}
 	for name, test := range map[string]struct {
 		reports []link.Report
-		answer  *pushback.Word
+		answer  *pushback.Signal
 		limited bool
 		leaves  bool
 	}{
 		"limit":                         {reports: []link.Report{limited}, limited: true},
 		"limit lifted":                  {reports: []link.Report{limited, none}},
 		"leaving":                       {reports: []link.Report{leaving, none}, leaves: true},
-		"response limit not in reports": {reports: []link.Report{none, none}, answer: &pushback.Word{Limited: true, Limit: 0.01}, limited: true},
+		"response limit not in reports": {reports: []link.Report{none, none}, answer: &pushback.Signal{Limited: true, Limit: 0.01}, limited: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newModelTestEnv(t, "127.0.0.1:1")
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -168,7 +168,7 @@
 func (lr *listReader) follow(ctx context.Context, host string) (failed bool) {
 	dialCtx, cancel := context.WithTimeout(ctx, linkDialTimeout)
 	defer cancel()
-	conn, err := link.Dial(dialCtx, lr.entry.boxLinks.client, lr.entry.cfg.Machine.LinkAt(host), nil)
+	conn, err := link.Dial(dialCtx, lr.entry.boxLinks.client, lr.entry.cfg.Machine.LinkAddress(host), nil)
 	if err != nil {
 		return true
 	}
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -102,7 +102,7 @@
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
 	source := told.NewEntrySource(view.Hedge(store), ListWait(m.Bounds.Drain))
 	v := view.New(source, view.Options{Log: logger})
-	links, err := net.Listen("tcp", m.LinkAt(host))
+	links, err := net.Listen("tcp", m.LinkAddress(host))
 	if err != nil {
 		env.t.Fatal(err)
 	}
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -78,7 +78,7 @@
 
 	// lastPushback is the server's latest pushback signal, limit the limit set by such signals. announcedLeave is set
 	// once a response or report announces a leave; nothing is sent before pausedUntil.
-	lastPushback   pushback.Word
+	lastPushback   pushback.Signal
 	limit          pushback.Limit
 	announcedLeave bool
 	pausedUntil    time.Time
@@ -183,7 +183,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.weight = weight
-	if contract.IsAnotherLife(server.Born, u.born) {
+	if contract.DifferentIncarnations(server.Born, u.born) {
 		// The list lags: its loaded versions are those of the previous incarnation.
 		server.Loaded = nil
 	}
@@ -214,7 +214,7 @@
 	if now.Sub(u.reportAt) < reportTTL && u.report.Server == u.server.ID && (model == "" || u.report.Model == model) {
 		return contract.Version(u.report.Version)
 	}
-	return u.server.Runs(model)
+	return u.server.LoadedVersion(model)
 }
 
 // closing reports whether the server's box has announced that it takes no new requests; mu is held.
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -53,7 +53,7 @@
 	// KeepAlive is how long the server keeps the connection open while idle; 0 if unset.
 	KeepAlive time.Duration
 	// Pushback is the server's signal to its callers.
-	Pushback pushback.Word
+	Pushback pushback.Signal
 }
 
 // Wire translates between the headers of callers and servers and the types of this package.
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -97,7 +97,7 @@
 func newTable(p settings.Platform) *dynamo.Table {
 	return dynamo.NewTable(dynamo.TableConfig{
 		Endpoint: p.TableURL, Table: p.Table, Region: p.Region,
-		Access: dynamo.Credentials{ID: p.AccessID, Secret: p.Secret},
+		Credentials: dynamo.Credentials{ID: p.AccessID, Secret: p.Secret},
 	})
 }
 
@@ -106,7 +106,7 @@
 	transport := &http.Transport{DialContext: pacer.Dialer(new(net.Dialer).DialContext)}
 	return dynamo.NewObjects(dynamo.ObjectsConfig{
 		Endpoint: p.ObjectURL, Bucket: p.Bucket, Region: p.Region,
-		Access: dynamo.Credentials{ID: p.AccessID, Secret: p.Secret},
-		Client: &http.Client{Transport: transport},
+		Credentials: dynamo.Credentials{ID: p.AccessID, Secret: p.Secret},
+		Client:      &http.Client{Transport: transport},
 	})
 }
--- a/internal/cmd/entrycmd.go
+++ b/internal/cmd/entrycmd.go
@@ -45,7 +45,7 @@
 	table := newTable(cfg.Platform)
 	e := entry.New(entry.Config{
 		ID: cfg.Daemon.ID, Fleet: cfg.Daemon.Fleet, Site: cfg.Daemon.Site, Incarnation: newIncarnation(),
-		Listener: listener, Queue: cfg.Queue, Deadline: cfg.Deadline, BodyLimit: cfg.BodyLimit,
+		Listener: listener, Queue: cfg.QueueLimit, Deadline: cfg.DefaultDeadline, BodyLimit: cfg.BodyLimit,
 		DrainLimit: cfg.Daemon.DrainLimit,
 		Ledger:     ledger.New(table), Claims: table, Keys: ring,
 		List: &dynamo.LiveList{URL: cfg.Platform.LiveURL}, ListInterval: cfg.Platform.ListInterval,
--- a/internal/cmd/explaincmd.go
+++ b/internal/cmd/explaincmd.go
@@ -35,7 +35,7 @@
 			return err
 		}
 	}
-	return logs.Story(c.stdout, cmd.String(flagID))
+	return logs.WriteTimeline(c.stdout, cmd.String(flagID))
 }
 
 func readLog(logs *explain.Log, path string) error {
--- a/internal/cmd/publishcmd.go
+++ b/internal/cmd/publishcmd.go
@@ -69,8 +69,8 @@
 	defer func() { _ = file.Close() }()
 	objects := dynamo.NewObjects(dynamo.ObjectsConfig{
 		Endpoint: cmd.String("object-url"), Bucket: cmd.String("bucket"), Region: cmd.String("region"),
-		Access: dynamo.Credentials{ID: cmd.String("access-id"), Secret: strings.TrimSpace(string(secret))},
-		Client: c.http,
+		Credentials: dynamo.Credentials{ID: cmd.String("access-id"), Secret: strings.TrimSpace(string(secret))},
+		Client:      c.http,
 	})
 	name := cmd.String("name")
 	if name == "" {
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -29,13 +29,13 @@
 		return err
 	}
 	logger = logger.WithField("node", m.ID)
-	if m.UpstreamAt != "" {
-		logger = logger.WithField("upstream", m.UpstreamAt)
+	if m.UpstreamAddress != "" {
+		logger = logger.WithField("upstream", m.UpstreamAddress)
 	}
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	store := platform.NewStore(m.StoreAt, newClient())
+	store := platform.NewStore(m.StoreAddress, newClient())
 	v, src := newView(r, m, store, logger)
 	src.store = store
 	d, err := r.build(m, v, src, logger)
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -51,15 +51,15 @@
 )
 
 func newEntry(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
-	callers, err := net.Listen("tcp", m.CallersAt)
+	callers, err := net.Listen("tcp", m.CallerAddress)
 	if err != nil {
 		return nil, err
 	}
-	ready, err := net.Listen("tcp", m.ReadyAt)
+	ready, err := net.Listen("tcp", m.ReadyAddress)
 	if err != nil {
 		return nil, err
 	}
-	links, err := net.Listen("tcp", m.LinkAt(m.Address))
+	links, err := net.Listen("tcp", m.LinkAddress(m.Address))
 	if err != nil {
 		return nil, err
 	}
@@ -72,13 +72,13 @@
 }
 
 func newBox(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
-	listener, err := net.Listen("tcp", m.LinkAt(m.Address))
+	listener, err := net.Listen("tcp", m.LinkAddress(m.Address))
 	if err != nil {
 		return nil, err
 	}
 	return fill.New(fill.Config{
 		Machine: m, View: v, Log: logger, Listener: listener, PeerSource: src.box,
-		Engine: platform.NewEngine(m.UpstreamAt, newClient()), Origin: platform.NewOrigin(newOriginClient()),
+		Engine: platform.NewEngine(m.UpstreamAddress, newClient()), Origin: platform.NewOrigin(newOriginClient()),
 	}), nil
 }
 
--- a/invariant/recorder.go
+++ b/invariant/recorder.go
@@ -22,31 +22,31 @@
 	CursorOfItsEpoch  Name = "cursor_of_its_epoch"
 )
 
-// Broken is a violation of an invariant.
-type Broken struct {
-	Name Name
-	Fact string
+// Violation is a violation of an invariant.
+type Violation struct {
+	Name   Name
+	Detail string
 }
 
 // Error returns a message with the invariant and the violation's details.
-func (b *Broken) Error() string {
-	return fmt.Sprintf("invariant %s broken: %s", b.Name, b.Fact)
+func (b *Violation) Error() string {
+	return fmt.Sprintf("invariant %s broken: %s", b.Name, b.Detail)
 }
 
 // Recorder counts, logs and collects violations. A nil Recorder only counts and logs.
 type Recorder struct {
-	// OnBroken, if set, is called for each violation; tests and the lab use it to fail.
-	OnBroken func(*Broken)
+	// OnViolation, if set, is called for each violation; tests and the lab use it to fail.
+	OnViolation func(*Violation)
 
 	mu         sync.Mutex
-	violations []*Broken
+	violations []*Violation
 }
 
-// Broken returns the violations so far.
-func (r *Recorder) Broken() []*Broken {
+// Violations returns the violations so far.
+func (r *Recorder) Violations() []*Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]*Broken(nil), r.violations...)
+	return append([]*Violation(nil), r.violations...)
 }
 
 // Check counts a check of an invariant and returns ok; format and args describe the violation.
@@ -55,17 +55,17 @@
 	if ok {
 		return true
 	}
-	violation := &Broken{Name: name, Fact: fmt.Sprintf(format, args...)}
+	violation := &Violation{Name: name, Detail: fmt.Sprintf(format, args...)}
 	metrics.GetOrCreateCounter(fmt.Sprintf(`coralstair_invariant_broken_total{name=%q}`, name)).Inc()
-	log.WithField("invariant", string(name)).Error("invariant: " + violation.Fact)
+	log.WithField("invariant", string(name)).Error("invariant: " + violation.Detail)
 	if r == nil {
 		return false
 	}
 	r.mu.Lock()
 	r.violations = append(r.violations, violation)
 	r.mu.Unlock()
-	if r.OnBroken != nil {
-		r.OnBroken(violation)
+	if r.OnViolation != nil {
+		r.OnViolation(violation)
 	}
 	return false
 }
--- a/lab/control.go
+++ b/lab/control.go
@@ -130,7 +130,7 @@
 	x.result.ControlBytes = float64(x.linkBytes()-bytes) / seconds / float64(x.cfg.Boxes)
 	x.result.ControlCPU = 100 * (cpuTime() - cpu).Seconds() / seconds / daemons
 	x.result.ControlRSS = residentMB() / daemons
-	x.result.InvariantsBroken = len(x.rig.Checks.Broken())
+	x.result.InvariantsBroken = len(x.rig.Checks.Violations())
 	return nil
 }
 
--- a/lab/local.go
+++ b/lab/local.go
@@ -20,7 +20,7 @@
 	server := httptest.NewServer(service)
 	client := dynamo.NewTable(dynamo.TableConfig{
 		Endpoint: server.URL, Table: "coralstair", Region: "local",
-		Access: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: server.Client(),
+		Credentials: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: server.Client(),
 	})
 	return &LocalTable{Table: client, Service: service, server: server}
 }
--- a/lab/rig.go
+++ b/lab/rig.go
@@ -257,14 +257,14 @@
 func (r *Rig) table() *dynamo.Table {
 	return dynamo.NewTable(dynamo.TableConfig{
 		Endpoint: r.platformURL + PathTable, Table: "coralstair", Region: "local",
-		Access: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: pooledClient(nil),
+		Credentials: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: pooledClient(nil),
 	})
 }
 
 func (r *Rig) objects(dial dialFunc) *dynamo.Objects {
 	return dynamo.NewObjects(dynamo.ObjectsConfig{
 		Endpoint: r.platformURL + "/objects", Bucket: rigBucket, Region: "local",
-		Access: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: pooledClient(dial),
+		Credentials: dynamo.Credentials{ID: "lab", Secret: rigSecret}, Client: pooledClient(dial),
 	})
 }
 
--- a/lab/rig_test.go
+++ b/lab/rig_test.go
@@ -36,7 +36,7 @@
 	}
 	t.Cleanup(func() {
 		rig.Close()
-		for _, broken := range rig.Checks.Broken() {
+		for _, broken := range rig.Checks.Violations() {
 			t.Error(broken)
 		}
 	})
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -282,13 +282,13 @@
 	for _, b := range x.rig.Boxes {
 		progress := b.Daemon().Transfer().Progress()
 		x.result.ChunksRejected += progress.Rejected
-		x.result.WastedChunkBytes += b.Daemon().Transfer().Wasted()
+		x.result.WastedChunkBytes += b.Daemon().Transfer().DiscardedBytes()
 		x.result.CrossSiteCopies += float64(progress.CrossBytes) / float64(x.cfg.Size)
 		in, out := b.Link.Bytes()
 		control += float64(in+out) - float64(progress.OriginBytes+progress.PeerBytes+progress.GivenBytes)
 	}
 	x.result.ControlBytesPerS = control / float64(len(x.rig.Boxes)) / max(x.result.TimeToN, 1)
-	x.result.InvariantsBroken = len(x.rig.Checks.Broken())
+	x.result.InvariantsBroken = len(x.rig.Checks.Violations())
 	x.live.report(&x.result)
 }
 
--- a/lab/shortage/spread.go
+++ b/lab/shortage/spread.go
@@ -30,6 +30,6 @@
 	slotTime := engine.SlotTime(e, engine.Load{Decoding: total / len(loads)}).Seconds()
 	sentWithin := func(window time.Duration) float64 { return 1 + float64(total)*window.Seconds()/slotTime }
 	requestCost := engine.PrefillTime(e, e.UsualPrompt, 1) + engine.StepTime(e, e.Slots/2)
-	index, others := spread.Pick(costs, spread.Sent{Unseen: sentWithin(reportInterval / 2), Over: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
+	index, others := spread.Pick(costs, spread.InFlight{Unreported: sentWithin(reportInterval / 2), Window: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
 	return placement{server: index, load: loads[index], timeToFirst: costs[index] + time.Duration(others/2*float64(requestCost))}
 }
--- a/lab/summary.go
+++ b/lab/summary.go
@@ -18,9 +18,9 @@
 func (d *drive) summarize(capacity float64, took time.Duration) DriveResult {
 	result := DriveResult{
 		Policy: d.cfg.Policy, Faults: strings.Join(d.cfg.Faults, ","), Seed: d.cfg.Seed, Sent: len(d.outcomes),
-		CapacityRPS: capacity, InvariantsBroken: len(d.rig.Checks.Broken()),
+		CapacityRPS: capacity, InvariantsBroken: len(d.rig.Checks.Violations()),
 	}
-	for _, broken := range d.rig.Checks.Broken() {
+	for _, broken := range d.rig.Checks.Violations() {
 		result.Broken = append(result.Broken, broken.Error())
 	}
 	runs := d.totalRuns()
--- a/machine/machine.go
+++ b/machine/machine.go
@@ -13,16 +13,16 @@
 	Site    string
 	// Regions maps each site to its region.
 	Regions map[string]string
-	// CallersAt and ReadyAt are listen addresses for callers' requests and readiness checks; empty if not served.
-	CallersAt string
-	ReadyAt   string
+	// CallerAddress and ReadyAddress are listen addresses for callers' requests and readiness checks; empty if not served.
+	CallerAddress string
+	ReadyAddress  string
 	// LinkPort is the port on which boxes accept links, the same on all machines.
 	LinkPort int
-	// StoreAt is the address of the platform's store.
-	StoreAt string
-	// UpstreamAt and Service are the address and service of the server on this machine; empty if there is none.
-	UpstreamAt string
-	Service    string
+	// StoreAddress is the address of the platform's store.
+	StoreAddress string
+	// UpstreamAddress and Service are the address and service of the server on this machine; empty if there is none.
+	UpstreamAddress string
+	Service         string
 	// LinkRate is the bandwidth of the machine's link in bytes per second.
 	LinkRate float64
 	Bounds   Bounds
@@ -44,8 +44,8 @@
 	RetryWindow time.Duration
 }
 
-// LinkAt returns the link address of the box on a host.
-func (m *Machine) LinkAt(host string) string {
+// LinkAddress returns the link address of the box on a host.
+func (m *Machine) LinkAddress(host string) string {
 	return net.JoinHostPort(host, strconv.Itoa(m.LinkPort))
 }
 
--- a/membership/watcher.go
+++ b/membership/watcher.go
@@ -63,8 +63,8 @@
 	return w.members
 }
 
-// Read reports whether the list has been read.
-func (w *Watcher) Read() bool {
+// Synced reports whether the list has been read.
+func (w *Watcher) Synced() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.read
--- a/operate/executor.go
+++ b/operate/executor.go
@@ -27,11 +27,11 @@
 // Executor executes statements for an entry.
 type Executor struct {
 	// Fleet is the entry's own fleet, the default of queries.
-	Fleet  string
-	Ledger Ledger
-	View   BoxReporter
-	// Accept is called with each accepted configuration; it may be nil.
-	Accept func(fleet.Config)
+	Fleet    string
+	Ledger   Ledger
+	Reporter BoxReporter
+	// OnAccepted is called with each accepted configuration; it may be nil.
+	OnAccepted func(fleet.Config)
 }
 
 // Command is a statement with its operator and conditions.
@@ -99,8 +99,8 @@
 	if err != nil {
 		return Result{}, err
 	}
-	if e.Accept != nil {
-		e.Accept(next)
+	if e.OnAccepted != nil {
+		e.OnAccepted(next)
 	}
 	change.Revision = next.Revision
 	return accepted(change, "accepted"), nil
@@ -139,10 +139,10 @@
 }
 
 func (e *Executor) boxes(fleetName string) []BoxReport {
-	if e.View == nil || fleetName != e.Fleet {
+	if e.Reporter == nil || fleetName != e.Fleet {
 		return nil
 	}
-	return e.View.Boxes()
+	return e.Reporter.Boxes()
 }
 
 func accepted(change fleet.Change, message string) Result {
--- a/operate/show.go
+++ b/operate/show.go
@@ -22,10 +22,10 @@
 	State    string
 	Version  string
 	Revision fleet.Revision
-	// Heard is the time since the report; negative if there was none.
-	Heard   time.Duration
-	Load    int
-	Leaving bool
+	// ReportAge is the time since the report; negative if there was none.
+	ReportAge time.Duration
+	Load      int
+	Leaving   bool
 
 	Have, Chunks           int
 	OriginBytes, PeerBytes int64
@@ -84,7 +84,7 @@
 	for _, box := range e.boxes(name) {
 		table.Rows = append(table.Rows, []string{
 			box.ID, box.Site, box.Service, boxState(box), orDash(box.Version), strconv.FormatUint(uint64(box.Revision), 10),
-			formatAge(box.Heard), strconv.Itoa(box.Load), strconv.Itoa(box.Have), strconv.Itoa(box.Chunks),
+			formatAge(box.ReportAge), strconv.Itoa(box.Load), strconv.Itoa(box.Have), strconv.Itoa(box.Chunks),
 			formatInt(box.OriginBytes), formatInt(box.PeerBytes), formatInt(box.GivenBytes), strconv.Itoa(box.Rejected),
 		})
 	}
--- a/problem/problem.go
+++ b/problem/problem.go
@@ -44,8 +44,8 @@
 	return p
 }
 
-// WithPlace returns a copy with a position in a statement.
-func (p Problem) WithPlace(line, column int) Problem {
+// WithPosition returns a copy with a position in a statement.
+func (p Problem) WithPosition(line, column int) Problem {
 	p.Line, p.Column = line, column
 	return p
 }
--- a/pushback/limit.go
+++ b/pushback/limit.go
@@ -19,10 +19,10 @@
 	maxInterval = time.Hour
 )
 
-// Hearing says when a signal was received, and by which caller.
-type Hearing struct {
-	// Sent is when the request was sent whose response holds the signal, At when that response arrived.
-	Sent, At time.Time
+// Receipt says when a signal was received, and by which caller.
+type Receipt struct {
+	// Sent is when the request was sent whose response holds the signal, Received when that response arrived.
+	Sent, Received time.Time
 	// Share is this caller's fraction of the server's limit, 0 to 1.
 	Share float64
 	// Phase is the position of the first send in the first interval, 0 to 1; callers choose it at random.
@@ -41,7 +41,7 @@
 
 // With returns the limit after a signal. A signal that allows more applies only if its request was sent after the signal in
 // force was received: responses may arrive out of order.
-func (l Limit) With(signal Word, by Hearing) Limit {
+func (l Limit) With(signal Signal, by Receipt) Limit {
 	if l.active && (!signal.Limited || signal.Limit > l.rate) && by.Sent.Before(l.receivedAt) {
 		return l
 	}
@@ -52,9 +52,9 @@
 	wait := time.Duration(by.Phase * float64(every))
 	if old := interval(l.rate, by.Share); l.active && old > 0 {
 		// Keep the caller's position between two sends.
-		wait = time.Duration(float64(every) * min(1, max(0, l.nextSend.Sub(by.At).Seconds()/old.Seconds())))
+		wait = time.Duration(float64(every) * min(1, max(0, l.nextSend.Sub(by.Received).Seconds()/old.Seconds())))
 	}
-	return Limit{active: true, rate: signal.Limit, receivedAt: by.At, nextSend: by.At.Add(wait)}
+	return Limit{active: true, rate: signal.Limit, receivedAt: by.Received, nextSend: by.Received.Add(wait)}
 }
 
 // Wait returns the delay until a request may be sent, 0 if it may be sent now.
--- a/pushback/limit_test.go
+++ b/pushback/limit_test.go
@@ -12,12 +12,12 @@
 func after(d time.Duration) time.Time { return start.Add(d) }
 
 // limited returns a signal with a limit, in requests per second.
-func limited(rate float64) Word { return Word{Limited: true, Limit: rate} }
+func limited(rate float64) Signal { return Signal{Limited: true, Limit: rate} }
 
 func TestWordsChangeTheLimit(t *testing.T) {
 	type received struct {
 		sent, at time.Duration
-		signal   Word
+		signal   Signal
 	}
 	const s = time.Second
 	for name, test := range map[string]struct {
@@ -28,9 +28,9 @@
 		"no signal":     {},
 		"limit":         {received: []received{{0, s, limited(2)}}, want: 2, on: true},
 		"limit of zero": {received: []received{{0, s, limited(0)}}, on: true},
-		"limit lifted":  {received: []received{{0, s, limited(2)}, {2 * s, 3 * s, Word{}}}},
+		"limit lifted":  {received: []received{{0, s, limited(2)}, {2 * s, 3 * s, Signal{}}}},
 		"limit lifted by a response to an earlier request": {
-			received: []received{{0, 2 * s, limited(2)}, {s, 3 * s, Word{}}}, want: 2, on: true,
+			received: []received{{0, 2 * s, limited(2)}, {s, 3 * s, Signal{}}}, want: 2, on: true,
 		},
 		"limit raised": {received: []received{{0, s, limited(2)}, {2 * s, 3 * s, limited(4)}}, want: 4, on: true},
 		"limit raised by a response to an earlier request": {received: []received{{0, 2 * s, limited(2)}, {s, 3 * s, limited(4)}}, want: 2, on: true},
@@ -38,14 +38,14 @@
 			received: []received{{0, 2 * s, limited(4)}, {s, 3 * s, limited(2)}}, want: 2, on: true,
 		},
 		"limit repeated while a response without it is in flight": {
-			received: []received{{0, s, limited(2)}, {0, 4 * s, limited(2)}, {2 * s, 5 * s, Word{}}}, want: 2, on: true,
+			received: []received{{0, s, limited(2)}, {0, 4 * s, limited(2)}, {2 * s, 5 * s, Signal{}}}, want: 2, on: true,
 		},
-		"limit lifted, then repeated by a late response": {received: []received{{0, s, limited(2)}, {2 * s, 3 * s, Word{}}, {s, 4 * s, limited(2)}}, want: 2, on: true},
+		"limit lifted, then repeated by a late response": {received: []received{{0, s, limited(2)}, {2 * s, 3 * s, Signal{}}, {s, 4 * s, limited(2)}}, want: 2, on: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var l Limit
 			for _, r := range test.received {
-				l = l.With(r.signal, Hearing{Sent: after(r.sent), At: after(r.at), Share: 1})
+				l = l.With(r.signal, Receipt{Sent: after(r.sent), Received: after(r.at), Share: 1})
 			}
 			if l.active != test.on || l.rate != test.want {
 				t.Errorf("limited %t to %v, want %t, %v", l.active, l.rate, test.on, test.want)
@@ -66,7 +66,7 @@
 		"share of zero":      {1, 0, maxInterval, maxInterval},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := Limit{}.With(limited(test.rate), Hearing{Sent: start, At: start, Share: test.share})
+			l := Limit{}.With(limited(test.rate), Receipt{Sent: start, Received: start, Share: test.share})
 			l = l.WithSent(start, test.share)
 			if got := l.Wait(start, test.share).Round(time.Millisecond); got < test.least || got > test.most {
 				t.Errorf("next send in %s, want %s to %s", got, test.least, test.most)
@@ -76,7 +76,7 @@
 }
 
 func TestPermitsDoNotGather(t *testing.T) {
-	l := Limit{}.With(limited(4), Hearing{Sent: start, At: start, Share: 0.1})
+	l := Limit{}.With(limited(4), Receipt{Sent: start, Received: start, Share: 0.1})
 	every := interval(4, 0.1)
 	if got := l.Wait(after(10*every+sendWindow/2), 0.1); got != 0 {
 		t.Errorf("a request waits %s within its send window, want 0", got)
@@ -110,7 +110,7 @@
 					share := 1 / float64(callers)
 					limits := make([]Limit, callers)
 					for i := range limits {
-						limits[i] = limits[i].With(limited(rate), Hearing{Sent: start, At: start, Share: share, Phase: rng.Float64()})
+						limits[i] = limits[i].With(limited(rate), Receipt{Sent: start, Received: start, Share: share, Phase: rng.Float64()})
 					}
 					var sent []time.Duration
 					for at := time.Duration(0); at < duration; at += step {
--- a/relay/call.go
+++ b/relay/call.go
@@ -117,7 +117,7 @@
 	case link.OutcomeNotRun:
 		c.end(&NotRunError{Reason: m.Reason})
 	default:
-		c.end(&LostError{Reason: m.Reason, Ended: m.EndedIncarnation})
+		c.end(&LostError{Reason: m.Reason, EndedIncarnation: m.EndedIncarnation})
 	}
 }
 
--- a/relay/errors.go
+++ b/relay/errors.go
@@ -12,8 +12,8 @@
 type LostError struct {
 	Reason string
 	Err    error
-	// Ended is the incarnation of the upstream that exited during the request; empty if none did.
-	Ended string
+	// EndedIncarnation is the incarnation of the upstream that exited during the request; empty if none did.
+	EndedIncarnation string
 }
 
 // Error gives the reason.
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -226,7 +226,7 @@
 				client := connect(t.Context(), func(ctx context.Context, _ *link.Request, resp *Responder) {
 					_ = resp.Head(link.Head{Status: 200})
 					if stream {
-						resp.Stream()
+						resp.ClearDeadline()
 					}
 					select {
 					case <-time.After(time.Minute):
--- a/relay/server.go
+++ b/relay/server.go
@@ -117,8 +117,8 @@
 	return r.server.sender.Send(r.ctx, &head)
 }
 
-// Stream stops the request's deadline, which does not apply to a stream that has started.
-func (r *Responder) Stream() { r.deadline.Stop() }
+// ClearDeadline stops the request's deadline, which does not apply to a stream that has started.
+func (r *Responder) ClearDeadline() { r.deadline.Stop() }
 
 func (r *Responder) addCredit(n int) {
 	r.mu.Lock()
--- a/settings/daemon.go
+++ b/settings/daemon.go
@@ -35,27 +35,27 @@
 
 // Box holds the settings of a box daemon.
 type Box struct {
-	Daemon       Daemon
-	Platform     Platform
-	Service      string
-	Kind         string
-	Advertise    string
-	UpstreamURL  string
-	ChecksFences string
-	Resumes      string
-	Slots        int
-	WeightsLimit int64
-	LinkRate     int64
+	Daemon         Daemon
+	Platform       Platform
+	Service        string
+	Kind           string
+	Advertise      string
+	UpstreamURL    string
+	ChecksFences   string
+	ResumesStreams string
+	Slots          int
+	WeightsLimit   int64
+	LinkRate       int64
 }
 
 // Entry holds the settings of an entry daemon.
 type Entry struct {
-	Daemon    Daemon
-	Platform  Platform
-	KeysFile  string
-	Queue     int
-	Deadline  time.Duration
-	BodyLimit int64
+	Daemon          Daemon
+	Platform        Platform
+	KeysFile        string
+	QueueLimit      int
+	DefaultDeadline time.Duration
+	BodyLimit       int64
 }
 
 const (
@@ -107,7 +107,7 @@
 		urlKey("box", "upstream-url", "http://127.0.0.1:8000", "Where the upstream answers.", &b.UpstreamURL),
 		optional(addressKey("box", "advertise", "10.0.0.7:7400", "Address at which other boxes and the upstream reach this daemon; else that of listen.", &b.Advertise)),
 		choiceKey("box", "checks-fences", "yes", "Whether the upstream refuses orders with an older fence: yes or no.", []string{"yes", "no"}, &b.ChecksFences),
-		choiceKey("box", "resumes", "no", "Whether the engine goes on with a broken-off stream after the events named in X-Resume-Events: yes or no.", []string{"yes", "no"}, &b.Resumes),
+		choiceKey("box", "resumes", "no", "Whether the engine goes on with a broken-off stream after the events named in X-Resume-Events: yes or no.", []string{"yes", "no"}, &b.ResumesStreams),
 		optional(countKey("box", "slots", "64", "Requests that the upstream takes at a time; else the entries decide.", 1, maxSlots, &b.Slots)),
 		optional(withExample("80GiB", bytesKey("box", "weights-limit", "", "Memory for held weights, such as 80GiB; else no limit.", &b.WeightsLimit))),
 		optional(withExample("12MB", bytesKey("box", "link-rate", "", "Bytes a second that the box's link carries, in and out together, so that chunks leave room for requests; else they are not paced.", &b.LinkRate))),
@@ -118,8 +118,8 @@
 	keys := append(e.Daemon.keys("entry-1", "10.0.0.1:7300"), e.Platform.keys()...)
 	return append(keys,
 		fileKey("entry", "keys-file", "/etc/coralstair/keys", "File with the hashes of teams' and operators' keys (see coralstair keys).", &e.KeysFile),
-		countKey("entry", "queue", "1000", "Requests of a service that may wait at this entry.", 1, maxQueue, &e.Queue),
-		durationKey("entry", "deadline", "60s", "Time for a request that names none.", &e.Deadline),
+		countKey("entry", "queue", "1000", "Requests of a service that may wait at this entry.", 1, maxQueue, &e.QueueLimit),
+		durationKey("entry", "deadline", "60s", "Time for a request that names none.", &e.DefaultDeadline),
 		bytesKey("entry", "body-limit", "8MiB", "Longest request body.", &e.BodyLimit),
 	)
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Sent counts requests of all clients, the current one included.
-type Sent struct {
-	// Unseen is the number of requests in flight that the latest reports do not include.
-	Unseen float64
-	// Over is the number of requests that the choice is spread over, at least Unseen.
-	Over float64
+// InFlight counts requests of all clients, the current one included.
+type InFlight struct {
+	// Unreported is the number of requests in flight that the latest reports do not include.
+	Unreported float64
+	// Window is the number of requests that the choice is spread over, at least Unreported.
+	Window float64
 }
 
 // Pick returns the index of a server and the expected number of other unreported requests there. It chooses a server with
 // the probability with which it would get one of sent.Over requests assigned greedily by cost, each adding addedCost;
 // choosing the cheapest server would overload it until the next report. random is in [0, 1).
-func Pick(costs []time.Duration, sent Sent, addedCost time.Duration, random float64) (index int, others float64) {
+func Pick(costs []time.Duration, sent InFlight, addedCost time.Duration, random float64) (index int, others float64) {
 	chosen := Cheapest(costs)
-	if sent.Over <= 1 {
+	if sent.Window <= 1 {
 		return chosen, 0
 	}
-	level := fillLevel(costs, sent.Over, addedCost)
-	left := random * sent.Over
+	level := fillLevel(costs, sent.Window, addedCost)
+	left := random * sent.Window
 	for i, cost := range costs {
 		if share := requestsToFill(cost, level, addedCost); share > 0 {
 			chosen = i
@@ -31,7 +31,7 @@
 			}
 		}
 	}
-	return chosen, requestsToFill(costs[chosen], level, addedCost) * (sent.Unseen - 1) / sent.Over
+	return chosen, requestsToFill(costs[chosen], level, addedCost) * (sent.Unreported - 1) / sent.Window
 }
 
 // Cheapest returns the index of the lowest cost.
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -21,15 +21,15 @@
 	const samples = 1000
 	for name, test := range map[string]struct {
 		costs []time.Duration
-		sent  Sent
+		sent  InFlight
 		// first is the first server's probability, others the expected number of other requests there.
 		first, others float64
 	}{
-		"single request: cheapest":   {ms(100, 101), Sent{1, 1}, 1, 0},
-		"equal costs":                {ms(100, 100), Sent{3, 3}, 0.5, 1},
-		"higher cost, smaller share": {ms(100, 150), Sent{3, 3}, 2. / 3, 4. / 3},
-		"higher cost, wider spread":  {ms(100, 150), Sent{3, 9}, 5. / 9, 10. / 9},
-		"much higher cost, no share": {ms(100, 900), Sent{3, 9}, 1, 2},
+		"single request: cheapest":   {ms(100, 101), InFlight{1, 1}, 1, 0},
+		"equal costs":                {ms(100, 100), InFlight{3, 3}, 0.5, 1},
+		"higher cost, smaller share": {ms(100, 150), InFlight{3, 3}, 2. / 3, 4. / 3},
+		"higher cost, wider spread":  {ms(100, 150), InFlight{3, 9}, 5. / 9, 10. / 9},
+		"much higher cost, no share": {ms(100, 900), InFlight{3, 9}, 1, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			taken, expected := 0, 0.0
--- a/store/epoch.go
+++ b/store/epoch.go
@@ -49,9 +49,9 @@
 	return e.newest
 }
 
-// During returns a context that is also cancelled when the store's epoch changes: a call that waits for changes after a position of
+// WithEpoch returns a context that is also cancelled when the store's epoch changes: a call that waits for changes after a position of
 // an earlier epoch would never return them. The caller must call cancel.
-func (e *Epochs) During(ctx context.Context, epoch Epoch) (during context.Context, cancel context.CancelFunc) {
+func (e *Epochs) WithEpoch(ctx context.Context, epoch Epoch) (during context.Context, cancel context.CancelFunc) {
 	during, cancel = context.WithCancel(ctx)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -24,9 +24,9 @@
 	Site string
 }
 
-// Chosen is a selected box with its weight, the inverse of the probability that an entry selects the box. Summed over the
+// Selected is a selected box with its weight, the inverse of the probability that an entry selects the box. Summed over the
 // entries of a box, the weights estimate the number of all entries.
-type Chosen struct {
+type Selected struct {
 	Box
 	Weight float64
 }
@@ -34,7 +34,7 @@
 // Choose selects the boxes of an entry at a site, in no particular order; entries is the number of entries, 0 if unknown.
 // It uses rendezvous hashing, so that entries need no coordination, a box that is added or removed changes at most one
 // selected box, and each box is selected by about the same number of entries.
-func Choose(entry, site string, boxes []Box, entries int) []Chosen {
+func Choose(entry, site string, boxes []Box, entries int) []Selected {
 	var local, remote []Box
 	for _, box := range boxes {
 		if box.Site == site {
@@ -51,16 +51,16 @@
 }
 
 // selectTop returns the boxes with the highest scores for an entry, at most limit.
-func selectTop(entry string, boxes []Box, limit int) []Chosen {
+func selectTop(entry string, boxes []Box, limit int) []Selected {
 	weight := 1.0
 	if len(boxes) > limit {
 		weight = float64(len(boxes)) / float64(limit)
 		slices.SortFunc(boxes, func(a, b Box) int { return cmp.Compare(score(entry, b), score(entry, a)) })
 		boxes = boxes[:limit]
 	}
-	chosen := make([]Chosen, len(boxes))
+	chosen := make([]Selected, len(boxes))
 	for i, box := range boxes {
-		chosen[i] = Chosen{Box: box, Weight: weight}
+		chosen[i] = Selected{Box: box, Weight: weight}
 	}
 	return chosen
 }
--- a/told/source.go
+++ b/told/source.go
@@ -260,7 +260,7 @@
 
 // diffServers returns the changes from an old list to a new one.
 func diffServers(old, list map[string]contract.Server) view.Servers {
-	present, gone := contract.Changes(old, list)
+	present, gone := contract.DiffServers(old, list)
 	return view.Servers{Present: present, Removed: gone, Cursor: noCursor}
 }
 
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Changed returns a channel that is closed when a target is next complete or has failed.
-func (t *Transfer) Changed() <-chan struct{} {
+// Done returns a channel that is closed when a target is next complete or has failed.
+func (t *Transfer) Done() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
@@ -180,8 +180,8 @@
 	return wanted
 }
 
-// Wasted returns the bytes of received chunks that were not needed.
-func (t *Transfer) Wasted() int64 {
+// DiscardedBytes returns the bytes of received chunks that were not needed.
+func (t *Transfer) DiscardedBytes() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.discarded
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -122,8 +122,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
 }
 
-// CleanHeader returns a copy of the header without hop-by-hop fields and the caller's key.
-func CleanHeader(header http.Header) http.Header {
+// EndToEndHeader returns a copy of the header without hop-by-hop fields and the caller's key.
+func EndToEndHeader(header http.Header) http.Header {
 	clean := header.Clone()
 	for _, field := range clean.Values("Connection") {
 		for name := range strings.SplitSeq(field, ",") {
--- a/view/apply.go
+++ b/view/apply.go
@@ -162,7 +162,7 @@
 // their entries expire only after several missed heartbeats. mu is held.
 func (v *View) markReplaced(server contract.Server) {
 	old, known := v.servers[server.ID]
-	if server.Address == "" || known && old.Address == server.Address && !contract.IsAnotherLife(old.Born, server.Born) {
+	if server.Address == "" || known && old.Address == server.Address && !contract.DifferentIncarnations(old.Born, server.Born) {
 		return
 	}
 	delete(v.replacedBy, server.ID)
--- a/view/restore.go
+++ b/view/restore.go
@@ -54,17 +54,17 @@
 		_, missing := v.missing[server.ID]
 		held, isPending := pending[server.ID]
 		switch {
-		case isPending && !contract.IsAnotherLife(held.server.Born, server.Born):
+		case isPending && !contract.DifferentIncarnations(held.server.Born, server.Born):
 			v.relisted[server.ID] = relisted{server: server, until: held.until}
 			continue
 		case !maybeOld:
-		case !lapsed && (missing || !known && hasLeft) && !contract.IsAnotherLife(left.born, server.Born):
+		case !lapsed && (missing || !known && hasLeft) && !contract.DifferentIncarnations(left.born, server.Born):
 			v.relisted[server.ID] = relisted{server: server, until: now.Add(relistDelay)}
 			v.opts.Log.WithField("server", server.ID).Info("view: a copy lists a server that left; it is not used yet")
 			continue
-		case known && contract.IsAnotherLife(old.Born, server.Born) && server.Born < old.Born:
+		case known && contract.DifferentIncarnations(old.Born, server.Born) && server.Born < old.Born:
 			server = old
-		case known && !contract.IsAnotherLife(old.Born, server.Born):
+		case known && !contract.DifferentIncarnations(old.Born, server.Born):
 			server.Leaving = server.Leaving || old.Leaving
 		}
 		usable = append(usable, server)
--- a/weights/errors.go
+++ b/weights/errors.go
@@ -39,11 +39,11 @@
 func (e *ManifestError) Unwrap() error { return e.Err }
 
 // LimitError says that weights do not fit into the store's limit; sizes are in bytes.
-type LimitError struct{ Limit, Held, Want int64 }
+type LimitError struct{ Limit, Held, Needed int64 }
 
 // Error gives the sizes in bytes.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("weights of %d bytes do not fit: %d of %d bytes are held", e.Want, e.Held, e.Limit)
+	return fmt.Sprintf("weights of %d bytes do not fit: %d of %d bytes are held", e.Needed, e.Held, e.Limit)
 }
 
 // NameTakenError says that a published name is bound to other weights.
--- a/weights/store.go
+++ b/weights/store.go
@@ -43,7 +43,7 @@
 		missing += m.ChunkLen(i)
 	}
 	if s.held+missing > s.limit {
-		return &LimitError{Limit: s.limit, Held: s.held, Want: missing}
+		return &LimitError{Limit: s.limit, Held: s.held, Needed: missing}
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	size := int64(len(data))
 	if s.limit > 0 && s.held+size > s.limit {
-		return &LimitError{Limit: s.limit, Held: s.held, Want: size}
+		return &LimitError{Limit: s.limit, Held: s.held, Needed: size}
 	}
 	if s.chunks == nil {
 		s.chunks = make(map[Digest][]byte)
