--- a/box/session.go
+++ b/box/session.go
@@ -178,7 +178,7 @@
 		return link.End{Outcome: link.OutcomeNotRun, Reason: reason}
 	}
 	defer b.gate.Release()
-	b.pacer.Live(len(req.Body))
+	b.pacer.Charge(len(req.Body))
 	if b.backoff.active(time.Now()) {
 		return link.End{Outcome: link.OutcomeNotRun, Reason: "the upstream rests"}
 	}
@@ -227,7 +227,7 @@
 			resp.ClearDeadline()
 		}
 		if n > 0 {
-			b.pacer.Live(n)
+			b.pacer.Charge(n)
 			if sendErr := resp.Data(buf[:n]); sendErr != nil {
 				return link.End{Outcome: link.OutcomeUnknown, Reason: sendErr.Error()}
 			}
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -98,7 +98,7 @@
 	b.state, b.stateAt = state, clock.Now()
 	b.mu.Unlock()
 	if state.Running+state.Waiting > 0 {
-		b.pacer.Live(1)
+		b.pacer.Charge(1)
 	}
 	if changed {
 		b.wake()
--- a/link/conn.go
+++ b/link/conn.go
@@ -26,8 +26,8 @@
 
 // Pacer limits the bandwidth of chunks in favour of live requests.
 type Pacer interface {
-	// Piece returns the most bytes that may pass at a time.
-	Piece() int
+	// MaxBurst returns the most bytes that may pass at a time.
+	MaxBurst() int
 	// Wait blocks until n bytes may pass.
 	Wait(ctx context.Context, n int) error
 }
@@ -207,7 +207,7 @@
 		return err
 	}
 	for len(data) > 0 {
-		n := min(len(data), c.pacer.Piece())
+		n := min(len(data), c.pacer.MaxBurst())
 		if err := c.pacer.Wait(c.ctx, n); err != nil {
 			return err
 		}
@@ -256,7 +256,7 @@
 	if p.conn.pacer == nil {
 		return p.r.Read(buf)
 	}
-	n, err := p.r.Read(buf[:min(len(buf), p.conn.pacer.Piece())])
+	n, err := p.r.Read(buf[:min(len(buf), p.conn.pacer.MaxBurst())])
 	p.read += n
 	if n > 0 && p.read > minChunkBytes {
 		if err := p.conn.pacer.Wait(p.conn.ctx, n); err != nil {
--- a/pace/pacer.go
+++ b/pace/pacer.go
@@ -56,8 +56,8 @@
 	return rate.Limit(bytesPerSecond * percent / 100)
 }
 
-// Live charges n bytes of a request or response. They are not delayed, but delay the chunks after them.
-func (p *Pacer) Live(n int) {
+// Charge charges n bytes of a request or response. They are not delayed, but delay the chunks after them.
+func (p *Pacer) Charge(n int) {
 	if p == nil || p.limiter == nil {
 		return
 	}
@@ -69,8 +69,8 @@
 	}
 }
 
-// Piece returns the maximum burst of a chunk in bytes.
-func (p *Pacer) Piece() int {
+// MaxBurst returns the maximum burst of a chunk in bytes.
+func (p *Pacer) MaxBurst() int {
 	if p == nil {
 		return maxBurst
 	}
@@ -106,7 +106,7 @@
 
 // Read reads at most one burst, then blocks until the burst may pass.
 func (c *pacedConn) Read(buf []byte) (int, error) {
-	buf = buf[:min(len(buf), c.pacer.Piece())]
+	buf = buf[:min(len(buf), c.pacer.MaxBurst())]
 	n, err := c.Conn.Read(buf)
 	if n > 0 {
 		_ = c.pacer.Wait(context.Background(), n)
