--- a/box/box.go
+++ b/box/box.go
@@ -62,7 +62,7 @@
 	holder := cfg.ID + "/" + cfg.Incarnation
 	b.transfer = transfer.New(transfer.Config{
 		Params: cfg.Params, Store: b.store, Origin: cfg.Origin,
-		Permits: &permit.Draws{Table: cfg.Table, Holder: holder},
+		Permits: &permit.Downloads{Table: cfg.Table, Holder: holder},
 	})
 	b.loader = &loader{
 		box:    b,
--- a/box/loader.go
+++ b/box/loader.go
@@ -31,7 +31,7 @@
 	nextEpochAttempt time.Time
 	orderCount       int64
 	fence            upstream.Fence
-	drainLease       *permit.Slot
+	drainLease       *permit.DrainLease
 	nextLeaseAttempt time.Time
 	orderedDigest    weights.Digest
 	nextOrderAttempt time.Time
@@ -218,7 +218,7 @@
 		return l.epoch > 0
 	}
 	l.nextEpochAttempt = time.Now().Add(epochRetryDelay)
-	epoch, err := permit.Epoch(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID)
+	epoch, err := permit.NextEpoch(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID)
 	if err != nil {
 		l.box.log.WithError(err).Warn("loader: no epoch; orders cannot be sent yet")
 		return false
@@ -233,7 +233,7 @@
 	if !l.box.cfg.UncheckedFences {
 		return true
 	}
-	current, err := permit.Current(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID, l.epoch)
+	current, err := permit.IsCurrent(ctx, l.box.cfg.Table, l.box.cfg.Fleet, l.box.cfg.ID, l.epoch)
 	if err == nil && !current {
 		l.box.log.Error("loader: a newer daemon of this box is running; order not sent")
 		return false
@@ -261,7 +261,7 @@
 
 // renewDrainLease keeps the drain lease while long responses are in flight.
 func (l *loader) renewDrainLease(ctx context.Context) {
-	if l.drainLease == nil || !l.drainLease.Due(time.Now()) {
+	if l.drainLease == nil || !l.drainLease.NeedsRenewal(time.Now()) {
 		return
 	}
 	lease, err := l.drains.Renew(ctx, *l.drainLease)
@@ -305,7 +305,7 @@
 	if time.Now().Before(l.nextLeaseAttempt) {
 		return
 	}
-	lease, ok, err := l.drains.Take(ctx, service.Name, service.Draining())
+	lease, ok, err := l.drains.Acquire(ctx, service.Name, service.Draining())
 	if err != nil {
 		l.box.log.WithError(err).Warn("loader: drain lease not acquired")
 	}
--- a/permit/drain.go
+++ b/permit/drain.go
@@ -18,19 +18,19 @@
 	Holder string
 }
 
-// Slot is a drain lease; its row's number is the expiry in Unix milliseconds.
-type Slot struct {
+// DrainLease is a drain lease; its row's number is the expiry in Unix milliseconds.
+type DrainLease struct {
 	key       store.Key
 	expiresAt int64
 }
 
-// Due reports whether the lease should be renewed.
-func (s Slot) Due(now time.Time) bool {
+// NeedsRenewal reports whether the lease should be renewed.
+func (s DrainLease) NeedsRenewal(now time.Time) bool {
 	return time.UnixMilli(s.expiresAt).Sub(now) < DrainLeaseTTL/2
 }
 
 // Release ends a lease, if this holder still has it. A lease that is not released expires after DrainLeaseTTL.
-func (d *Drains) Release(ctx context.Context, slot Slot) error {
+func (d *Drains) Release(ctx context.Context, slot DrainLease) error {
 	row, found, err := d.Table.Get(ctx, slot.key)
 	if err != nil || !found || string(row.Body) != d.Holder {
 		return err
@@ -42,8 +42,8 @@
 }
 
 // Renew extends a lease to DrainLeaseTTL from now. On error it returns the lease unchanged.
-func (d *Drains) Renew(ctx context.Context, slot Slot) (Slot, error) {
-	next := Slot{key: slot.key, expiresAt: time.Now().Add(DrainLeaseTTL).UnixMilli()}
+func (d *Drains) Renew(ctx context.Context, slot DrainLease) (DrainLease, error) {
+	next := DrainLease{key: slot.key, expiresAt: time.Now().Add(DrainLeaseTTL).UnixMilli()}
 	err := d.Table.Put(ctx, store.Put{
 		Row:       store.Row{Key: slot.key, Number: next.expiresAt, Body: []byte(d.Holder)},
 		Condition: store.IfNumber, Number: slot.expiresAt,
@@ -54,8 +54,8 @@
 	return next, nil
 }
 
-// Take acquires one of limit leases of a service; ok is false while all are held.
-func (d *Drains) Take(ctx context.Context, service string, limit int) (slot Slot, ok bool, err error) {
+// Acquire acquires one of limit leases of a service; ok is false while all are held.
+func (d *Drains) Acquire(ctx context.Context, service string, limit int) (slot DrainLease, ok bool, err error) {
 	for number := range limit {
 		key := store.Key{
 			Partition: fmt.Sprintf("drains#%s#%s", d.Fleet, service),
@@ -63,8 +63,8 @@
 		}
 		expiresAt, ok, err := acquire(ctx, d.Table, key, d.Holder, DrainLeaseTTL)
 		if err != nil || ok {
-			return Slot{key: key, expiresAt: expiresAt}, ok, err
+			return DrainLease{key: key, expiresAt: expiresAt}, ok, err
 		}
 	}
-	return Slot{}, false, nil
+	return DrainLease{}, false, nil
 }
--- a/permit/draw.go
+++ b/permit/draw.go
@@ -21,16 +21,16 @@
 	Put(ctx context.Context, put store.Put) error
 }
 
-// Draws grants permits to download chunk groups from the origin, at most swarm.MaxPermits per group and DownloadPermitTTL.
-type Draws struct {
+// Downloads grants permits to download chunk groups from the origin, at most swarm.MaxPermits per group and DownloadPermitTTL.
+type Downloads struct {
 	Table  Table
 	Holder string
 
 	acquired atomic.Int64
 }
 
-// Take acquires a permit for a group, trying number first before the others; ok is false if none is free.
-func (d *Draws) Take(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error) {
+// Acquire acquires a permit for a group, trying number first before the others; ok is false if none is free.
+func (d *Downloads) Acquire(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error) {
 	holder := fmt.Sprintf("%s#%d", d.Holder, d.acquired.Add(1))
 	for i := range swarm.MaxPermits {
 		number := (first + i) % swarm.MaxPermits
--- a/permit/epoch.go
+++ b/permit/epoch.go
@@ -7,8 +7,8 @@
 	"github.com/coralstair/coralstair/store"
 )
 
-// Epoch acquires the next epoch for a box's daemon, which fences the orders of earlier daemons of the box.
-func Epoch(ctx context.Context, table Table, fleet, box string) (int64, error) {
+// NextEpoch acquires the next epoch for a box's daemon, which fences the orders of earlier daemons of the box.
+func NextEpoch(ctx context.Context, table Table, fleet, box string) (int64, error) {
 	key := epochKey(fleet, box)
 	for {
 		row, found, err := table.Get(ctx, key)
@@ -31,8 +31,8 @@
 	}
 }
 
-// Current reports whether epoch is still the box's latest.
-func Current(ctx context.Context, table Table, fleet, box string, epoch int64) (bool, error) {
+// IsCurrent reports whether epoch is still the box's latest.
+func IsCurrent(ctx context.Context, table Table, fleet, box string, epoch int64) (bool, error) {
 	row, found, err := table.Get(ctx, epochKey(fleet, box))
 	return found && row.Number == epoch, err
 }
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -31,9 +31,9 @@
 			var granted atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 12 {
-				draws := &permit.Draws{Table: table, Holder: fmt.Sprint("box-", i)}
+				draws := &permit.Downloads{Table: table, Holder: fmt.Sprint("box-", i)}
 				wg.Go(func() {
-					if ok, err := draws.Take(context.Background(), weights.DigestOf(nil), 7, i%swarm.MaxPermits); err == nil && ok {
+					if ok, err := draws.Acquire(context.Background(), weights.DigestOf(nil), 7, i%swarm.MaxPermits); err == nil && ok {
 						granted.Add(1)
 					}
 				})
@@ -47,9 +47,9 @@
 }
 
 func TestDrawsAgainNeedsAnotherPermit(t *testing.T) {
-	draws := &permit.Draws{Table: newTable(t), Holder: "box"}
+	draws := &permit.Downloads{Table: newTable(t), Holder: "box"}
 	for i := range swarm.MaxPermits + 1 {
-		ok, err := draws.Take(context.Background(), weights.DigestOf(nil), 0, 0)
+		ok, err := draws.Acquire(context.Background(), weights.DigestOf(nil), 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,20 +64,20 @@
 	table := newTable(t)
 	a := &permit.Drains{Table: table, Fleet: "f", Holder: "a"}
 	b := &permit.Drains{Table: table, Fleet: "f", Holder: "b"}
-	slot, ok, err := a.Take(ctx, "s", 1)
+	slot, ok, err := a.Acquire(ctx, "s", 1)
 	if err != nil || !ok {
 		t.Fatalf("first lease: %v, %v", ok, err)
 	}
-	if _, ok, _ := b.Take(ctx, "s", 1); ok {
+	if _, ok, _ := b.Acquire(ctx, "s", 1); ok {
 		t.Error("two boxes hold a lease, want one")
 	}
-	if slot, err = a.Renew(ctx, slot); err != nil || slot.Due(time.Now()) {
+	if slot, err = a.Renew(ctx, slot); err != nil || slot.NeedsRenewal(time.Now()) {
 		t.Errorf("renewed lease is due, or error: %v", err)
 	}
 	if err := a.Release(ctx, slot); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok, err := b.Take(ctx, "s", 1); err != nil || !ok {
+	if _, ok, err := b.Acquire(ctx, "s", 1); err != nil || !ok {
 		t.Errorf("a released lease cannot be acquired: %v, %v", ok, err)
 	}
 }
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	drains := &permit.Drains{Table: table, Fleet: "f", Holder: "next"}
-	if _, ok, err := drains.Take(ctx, "s", 1); err != nil || !ok {
+	if _, ok, err := drains.Acquire(ctx, "s", 1); err != nil || !ok {
 		t.Errorf("an expired lease cannot be acquired: %v, %v", ok, err)
 	}
 }
@@ -99,16 +99,16 @@
 func TestEpochGrows(t *testing.T) {
 	ctx := context.Background()
 	table := newTable(t)
-	first, err := permit.Epoch(ctx, table, "f", "b")
+	first, err := permit.NextEpoch(ctx, table, "f", "b")
 	if err != nil {
 		t.Fatal(err)
 	}
 	table.Service.Faults.LoseAnswers(1)
-	second, err := permit.Epoch(ctx, table, "f", "b")
+	second, err := permit.NextEpoch(ctx, table, "f", "b")
 	if err != nil || second <= first {
 		t.Errorf("epoch %d after %d: %v", second, first, err)
 	}
-	if current, err := permit.Current(ctx, table, "f", "b", first); err != nil || current {
+	if current, err := permit.IsCurrent(ctx, table, "f", "b", first); err != nil || current {
 		t.Errorf("an earlier epoch counts as current: %v", err)
 	}
 }
--- a/transfer/run.go
+++ b/transfer/run.go
@@ -108,7 +108,7 @@
 	if held {
 		return true
 	}
-	ok, err := t.cfg.Permits.Take(r.ctx, r.target, group, action.Rank%swarm.MaxPermits)
+	ok, err := t.cfg.Permits.Acquire(r.ctx, r.target, group, action.Rank%swarm.MaxPermits)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if err != nil {
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -22,7 +22,7 @@
 
 // Permits grants permits to download a chunk group from the origin.
 type Permits interface {
-	Take(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error)
+	Acquire(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error)
 }
 
 // Config holds a transfer's settings and the services that it uses.
