--- a/box/box.go
+++ b/box/box.go
@@ -135,7 +135,7 @@
 	daemon := &supervise.Daemon{
 		Name: "box", Log: b.log, Listener: b.cfg.Listener,
 		Server: &http.Server{Handler: b.Handler(), ReadHeaderTimeout: headerTimeout},
-		Parts: []supervise.Part{
+		Components: []supervise.Component{
 			{Name: "follower", Run: b.follower.Serve},
 			{Name: "membership", Run: b.members.Serve},
 			{Name: "transfer", Run: b.transfer.Serve},
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -113,7 +113,7 @@
 	server.Protocols.SetUnencryptedHTTP2(true)
 	daemon := &supervise.Daemon{
 		Name: "entry", Log: e.log, Listener: e.cfg.Listener, Server: server,
-		Parts: []supervise.Part{
+		Components: []supervise.Component{
 			{Name: "follower", Run: e.follower.Serve},
 			{Name: "membership", Run: e.members.Serve},
 			{Name: "boxes", Run: e.boxes.Serve},
--- a/fill/box.go
+++ b/fill/box.go
@@ -82,9 +82,9 @@
 	return b
 }
 
-// Parts returns the services that make up the box.
-func (b *Box) Parts() []supervise.Part {
-	return []supervise.Part{
+// Components returns the services that make up the box.
+func (b *Box) Components() []supervise.Component {
+	return []supervise.Component{
 		{Name: "links", Run: b.serveLinks},
 		{Name: "reporter", Run: b.runReports},
 		{Name: "giver", Run: b.uploader.serve},
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -96,7 +96,7 @@
 	b := New(cfg)
 	go func() { _ = v.ServeDeclared(ctx) }()
 	go func() { _ = v.ServeServers(ctx) }()
-	for _, part := range b.Parts() {
+	for _, part := range b.Components() {
 		go func() { _ = part.Run(ctx) }()
 	}
 	return cancel
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -101,9 +101,9 @@
 	return e
 }
 
-// Parts returns the services of the entry for its supervisor.
-func (e *Entry) Parts() []supervise.Part {
-	parts := []supervise.Part{
+// Components returns the services of the entry for its supervisor.
+func (e *Entry) Components() []supervise.Component {
+	parts := []supervise.Component{
 		{Name: "callers", Run: func(ctx context.Context) error { return serve(ctx, e.callers, e.cfg.Callers) }},
 		{Name: "ready", Run: func(ctx context.Context) error { return serve(ctx, e.ready, e.cfg.Ready) }},
 		{Name: "upstreams", Run: e.followServers},
@@ -114,8 +114,8 @@
 	}
 	if e.cfg.PeerSource != nil && e.cfg.Links != nil {
 		parts = append(parts,
-			supervise.Part{Name: "links", Run: e.reader.serveLinks}, supervise.Part{Name: "list", Run: e.reader.serve},
-			supervise.Part{Name: "siblings", Run: e.peers.serve},
+			supervise.Component{Name: "links", Run: e.reader.serveLinks}, supervise.Component{Name: "list", Run: e.reader.serve},
+			supervise.Component{Name: "siblings", Run: e.peers.serve},
 		)
 	}
 	return parts
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -27,7 +27,7 @@
 
 // daemon is implemented by entries and boxes.
 type daemon interface {
-	Parts() []supervise.Part
+	Components() []supervise.Component
 }
 
 // role describes one kind of daemon.
--- a/internal/daemoncmd/stop_test.go
+++ b/internal/daemoncmd/stop_test.go
@@ -17,7 +17,7 @@
 // slowLeaver is a daemon that takes an hour to leave unless it is cancelled.
 type slowLeaver struct{ cancelled bool }
 
-func (*slowLeaver) Parts() []supervise.Part { return nil }
+func (*slowLeaver) Components() []supervise.Component { return nil }
 
 func (l *slowLeaver) Leave(ctx context.Context) {
 	select {
--- a/supervise/daemon.go
+++ b/supervise/daemon.go
@@ -14,29 +14,29 @@
 // shutdownTimeout limits the time to send responses that handlers have already written.
 const shutdownTimeout = 500 * time.Millisecond
 
-// Part is a named component of a daemon. Run must return when ctx ends.
-type Part struct {
+// Component is a named component of a daemon. Run must return when ctx ends.
+type Component struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
 // Serve implements suture.Service.
-func (p Part) Serve(ctx context.Context) error { return p.Run(ctx) }
+func (p Component) Serve(ctx context.Context) error { return p.Run(ctx) }
 
 // String returns the name for the log.
-func (p Part) String() string { return p.Name }
+func (p Component) String() string { return p.Name }
 
 // Daemon is an HTTP server and the components of a daemon.
 type Daemon struct {
-	Name     string
-	Log      log.Interface
-	Listener net.Listener
-	Server   *http.Server
-	Parts    []Part
+	Name       string
+	Log        log.Interface
+	Listener   net.Listener
+	Server     *http.Server
+	Components []Component
 }
 
 // Run runs components until ctx ends and restarts those that return early.
-func Run(ctx context.Context, name string, logger log.Interface, parts []Part) error {
+func Run(ctx context.Context, name string, logger log.Interface, parts []Component) error {
 	d := &Daemon{Name: name, Log: logger}
 	tree := suture.New(name, suture.Spec{EventHook: d.logEvent})
 	for _, part := range parts {
@@ -58,7 +58,7 @@
 	}()
 	served := make(chan error, 1)
 	go func() { served <- d.Server.Serve(d.Listener) }()
-	err := Run(ctx, d.Name, d.Log, d.Parts)
+	err := Run(ctx, d.Name, d.Log, d.Components)
 	if serveErr := <-served; !errors.Is(serveErr, http.ErrServerClosed) {
 		err = errors.Join(err, serveErr)
 	}
