--- a/box/box.go
+++ b/box/box.go
@@ -151,7 +151,7 @@
 
 // listTimeout is how long a box waits for the list of live boxes before it assumes that it is the only one of its service:
 // assuming so earlier, it would download from the origin what its neighbours hold.
-const listTimeout = swarm.DefaultRankWait
+const listTimeout = swarm.DefaultRankDelay
 
 // swarmMembers returns the live boxes of this box's service; none while the list has not been read.
 func (b *Box) swarmMembers() []swarm.Member {
--- a/fill/aim.go
+++ b/fill/aim.go
@@ -72,7 +72,7 @@
 	if newest != target || old.namedAt.IsZero() || old.feed == nil || old.feed.Complete() || b.state.Loaded[old.model] >= old.version {
 		return false
 	}
-	fetchTime := b.feedParams(old.manifest).DrawnAfter(len(old.manifest.Digests))
+	fetchTime := b.feedParams(old.manifest).DownloadTime(len(old.manifest.Digests))
 	if fetchTime == 0 {
 		fetchTime = defaultFetchTime
 	}
--- a/fill/fetch.go
+++ b/fill/fetch.go
@@ -52,7 +52,7 @@
 		return true
 	}
 	members := b.siblings()
-	homes := swarm.NewOrder(u.model, 1, members).Homes(0)
+	homes := swarm.NewOrder(u.model, 1, members).Gateways(0)
 	b.links.ensureLinks(u.ctx, append(b.sitePeers(homes), swarm.Neighbours(b.self(), members)...))
 	b.links.rejoin(u)
 	wait := neighbourManifestWait
@@ -115,7 +115,7 @@
 func (b *Box) feedParams(m *Manifest) swarm.FeedParams {
 	var params swarm.FeedParams
 	if origin := b.origin(); origin != nil && origin.LinkRate > 0 {
-		params.DrawEvery = time.Duration(float64(m.PieceBytes) / origin.LinkRate * float64(time.Second))
+		params.DownloadInterval = time.Duration(float64(m.PieceBytes) / origin.LinkRate * float64(time.Second))
 	}
 	return params
 }
--- a/fill/filler.go
+++ b/fill/filler.go
@@ -93,9 +93,9 @@
 	}
 	for _, action := range actions {
 		switch {
-		case action.Draw:
+		case action.Download:
 			go b.downloadPiece(u, action.Chunk)
-		case action.Drop:
+		case action.Cancel:
 			b.links.cancelRequest(u, action.Peer, action.Chunk)
 		default:
 			b.links.requestPiece(u, action.Peer, action.Chunk)
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -73,7 +73,7 @@
 		cancel()
 		if err != nil {
 			b.mu.Lock()
-			u.feed.Lost(piece)
+			u.feed.PieceLost(piece)
 			b.mu.Unlock()
 		}
 	}
@@ -161,7 +161,7 @@
 		bad++
 		b.mu.Lock()
 		if u.feed != nil {
-			u.feed.Lost(piece)
+			u.feed.PieceLost(piece)
 		}
 		b.clearTurn()
 		b.mu.Unlock()
--- a/fill/outlink.go
+++ b/fill/outlink.go
@@ -124,7 +124,7 @@
 	if u := b.updateByKey(key); u != nil {
 		b.mu.Lock()
 		if piece < len(u.manifest.Digests) {
-			u.feed.Failed(piece, l.member.ID, clock.Now())
+			u.feed.RequestFailed(piece, l.member.ID, clock.Now())
 		}
 		b.mu.Unlock()
 		b.wake()
--- a/fill/piece.go
+++ b/fill/piece.go
@@ -25,7 +25,7 @@
 	origin := b.origin()
 	if origin == nil {
 		b.mu.Lock()
-		u.feed.DrawFailed(piece)
+		u.feed.DownloadFailed(piece)
 		b.mu.Unlock()
 		return
 	}
@@ -47,14 +47,14 @@
 	b.log.WithField("piece", piece).WithField("cause", err.Error()).Warn("fill: a piece was not drawn")
 	if originUnreachable(err) {
 		b.mu.Lock()
-		u.feed.DrawUnreached(piece, clock.Now())
+		u.feed.OriginUnreachable(piece, clock.Now())
 		b.mu.Unlock()
 		return
 	}
 	time.Sleep(pollInterval)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u.feed.DrawFailed(piece)
+	u.feed.DownloadFailed(piece)
 	if errors.As(err, new(*MismatchError)) {
 		b.countCorruptPiece(u)
 	}
@@ -97,8 +97,8 @@
 		b.mu.Unlock()
 		return nil
 	}
-	asked := u.feed.Got(piece, from, waited, clock.Now())
-	complete, downloader := u.feed.Complete(), u.feed.Drawer(piece)
+	asked := u.feed.Received(piece, from, waited, clock.Now())
+	complete, downloader := u.feed.Complete(), u.feed.IsDownloader(piece)
 	u.corruptPieces = 0
 	b.mu.Unlock()
 	b.links.announcePiece(u, piece, asked, complete, downloader || from == "")
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -148,7 +148,7 @@
 	if u == nil || u.feed == nil || b.state.Loaded[u.model] >= u.version {
 		return 0
 	}
-	left, known := u.feed.Left(now)
+	left, known := u.feed.TimeLeft(now)
 	if !known {
 		return 0
 	}
--- a/fill/restart.go
+++ b/fill/restart.go
@@ -52,7 +52,7 @@
 	b.needsRelist = false
 	for _, piece := range u.feed.Held() {
 		if !staged[int(piece)] && u.buffered[int(piece)] == nil {
-			u.feed.Lost(int(piece))
+			u.feed.PieceLost(int(piece))
 		}
 	}
 }
--- a/fill/uploader.go
+++ b/fill/uploader.go
@@ -220,7 +220,7 @@
 		return data
 	}
 	b.mu.Lock()
-	u.feed.Lost(next.piece)
+	u.feed.PieceLost(next.piece)
 	b.mu.Unlock()
 	b.wake()
 	return nil
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -143,8 +143,8 @@
 // swarmParams scales the policy's delays with the window, as an operator's settings would.
 func swarmParams(cfg RolloutConfig) swarm.Params {
 	return swarm.Params{
-		Patience: max(cfg.Window/20, 500*time.Millisecond),
-		RankWait: max(cfg.Window/20, 300*time.Millisecond),
+		RequestTimeout: max(cfg.Window/20, 500*time.Millisecond),
+		RankDelay:      max(cfg.Window/20, 300*time.Millisecond),
 	}
 }
 
--- a/swarm/choose.go
+++ b/swarm/choose.go
@@ -49,7 +49,7 @@
 		group := n.order.Group(chunk)
 		if n.wanted(chunk) && n.mayDownload(chunk, group, now) {
 			n.downloading[chunk] = true
-			actions = append(actions, Action{Chunk: chunk, Draw: true, Rank: n.ranks[group]})
+			actions = append(actions, Action{Chunk: chunk, Download: true, Rank: n.ranks[group]})
 		}
 	}
 	return actions
@@ -92,10 +92,10 @@
 	return n.copies[chunk] == 0 && (n.planned(rank) || n.rankDue(rank, now))
 }
 
-// knowsHoldings reports whether a linked peer has announced its chunks, there are no others, or RankWait has passed.
+// knowsHoldings reports whether a linked peer has announced its chunks, there are no others, or RankDelay has passed.
 // Otherwise a replaced box would download chunks that its neighbours hold, also while a link is being replaced.
 func (n *Node) knowsHoldings(now time.Time) bool {
-	if len(n.order.members) < 2 || now.Sub(n.started) >= n.params.RankWait {
+	if len(n.order.members) < 2 || now.Sub(n.started) >= n.params.RankDelay {
 		return true
 	}
 	for _, p := range n.peers {
@@ -168,9 +168,9 @@
 	return n.siteCopies[chunk] == 0 && rank >= 0 && n.rankDue(rank, now)
 }
 
-// CrossLinks returns the boxes of other sites to link to: the sources of the groups for which this box is its site's
+// CrossSitePeers returns the boxes of other sites to link to: the sources of the groups for which this box is its site's
 // gateway, and of those whose gateway has not delivered in time.
-func (n *Node) CrossLinks(now time.Time) []Member {
+func (n *Node) CrossSitePeers(now time.Time) []Member {
 	seen := make(map[string]bool)
 	var links []Member
 	for group := range n.order.Groups() {
@@ -190,13 +190,13 @@
 	return links
 }
 
-// maxRankWaits bounds the delay of late ranks, in multiples of RankWait.
+// maxRankWaits bounds the delay of late ranks, in multiples of RankDelay.
 const maxRankWaits = 8
 
 // rankDue reports whether there has been no progress for the delay of a rank. While chunks still arrive, earlier ranks
 // are working and a later rank must not fetch the same chunks again.
 func (n *Node) rankDue(rank int, now time.Time) bool {
-	wait := max(n.params.RankWait, timeoutFactor*n.meanTime)
+	wait := max(n.params.RankDelay, timeoutFactor*n.meanTime)
 	return now.Sub(n.lastProgress) >= time.Duration(min(rank, maxRankWaits))*wait
 }
 
--- a/swarm/feed.go
+++ b/swarm/feed.go
@@ -59,9 +59,9 @@
 // Complete reports whether all pieces are held.
 func (f *Feed) Complete() bool { return f.missing == 0 }
 
-// Got records that a piece arrived and was verified; from is empty for the origin, queued is how long the request waited
+// Received records that a piece arrived and was verified; from is empty for the origin, queued is how long the request waited
 // at the sender. It returns the peer that was asked for the piece but did not send it first, or an empty string.
-func (f *Feed) Got(piece int, from string, queued time.Duration, now time.Time) (asked string) {
+func (f *Feed) Received(piece int, from string, queued time.Duration, now time.Time) (asked string) {
 	if a, ok := f.requests[piece]; ok {
 		if a.peer == from {
 			f.adaptWindow(from, now.Sub(a.since)-queued, now)
@@ -106,9 +106,9 @@
 // Holds reports whether a piece is held.
 func (f *Feed) Holds(piece int) bool { return f.have[piece] }
 
-// Left estimates the time for the missing pieces from the pace so far; known is false before the first piece and while
+// TimeLeft estimates the time for the missing pieces from the pace so far; known is false before the first piece and while
 // the origin is unreachable.
-func (f *Feed) Left(now time.Time) (left time.Duration, known bool) {
+func (f *Feed) TimeLeft(now time.Time) (left time.Duration, known bool) {
 	switch {
 	case f.Complete():
 		return 0, true
@@ -118,8 +118,8 @@
 	return now.Sub(f.firstReceived) * time.Duration(f.missing) / time.Duration(f.received), true
 }
 
-// Lost records that a held piece is corrupt or gone.
-func (f *Feed) Lost(piece int) {
+// PieceLost records that a held piece is corrupt or gone.
+func (f *Feed) PieceLost(piece int) {
 	if f.have[piece] {
 		f.have[piece] = false
 		f.missing++
--- a/swarm/feed_test.go
+++ b/swarm/feed_test.go
@@ -77,7 +77,7 @@
 	w := newFeedSim(testMembers(6, 2), feedPieces, holdsNone)
 	w.run(t, 6*time.Second)
 	before := w.downloads
-	w.feeds["b002"].Lost(7)
+	w.feeds["b002"].PieceLost(7)
 	if w.feeds["b002"].Complete() {
 		t.Fatal("a lost piece is still held")
 	}
@@ -98,7 +98,7 @@
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		for _, action := range f.Next(now) {
-			if !action.Drop && !action.Draw {
+			if !action.Cancel && !action.Download {
 				requests++
 			}
 		}
--- a/swarm/feedask.go
+++ b/swarm/feedask.go
@@ -11,8 +11,8 @@
 	since time.Time
 }
 
-// Failed records that a peer declined a request or sent a corrupt piece; the peer is paused.
-func (f *Feed) Failed(piece int, from string, now time.Time) {
+// RequestFailed records that a peer declined a request or sent a corrupt piece; the peer is paused.
+func (f *Feed) RequestFailed(piece int, from string, now time.Time) {
 	f.release(piece, from)
 	if p := f.peers[from]; p != nil {
 		p.have[piece] = false
@@ -64,7 +64,7 @@
 		f.release(piece, a.peer)
 		p.pausedUntil = now.Add(faultPause)
 		p.slowUntil = now.Add(slowPause)
-		actions = append(actions, Action{Chunk: piece, Peer: a.peer, Drop: true})
+		actions = append(actions, Action{Chunk: piece, Peer: a.peer, Cancel: true})
 	}
 	if stalled && len(actions) > 0 {
 		f.window = 1
--- a/swarm/feeddraw.go
+++ b/swarm/feeddraw.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// DrawFailed records that a piece's download from the origin failed.
-func (f *Feed) DrawFailed(piece int) { delete(f.downloading, piece) }
+// DownloadFailed records that a piece's download from the origin failed.
+func (f *Feed) DownloadFailed(piece int) { delete(f.downloading, piece) }
 
-// DrawUnreached records that the origin was unreachable for a piece. The piece is retried in the next round of those that
+// OriginUnreachable records that the origin was unreachable for a piece. The piece is retried in the next round of those that
 // nobody holds, so that the returning origin is not asked for all of them at once.
-func (f *Feed) DrawUnreached(piece int, now time.Time) {
+func (f *Feed) OriginUnreachable(piece int, now time.Time) {
 	delete(f.downloading, piece)
 	f.retryAt[piece] = f.retrySlot(piece, now.Add(1))
 	f.originDown = true
@@ -26,7 +26,7 @@
 		}
 		missing++
 	}
-	round := max(time.Duration(missing)*f.params.DrawEvery, f.params.RankDelay)
+	round := max(time.Duration(missing)*f.params.DownloadInterval, f.params.RankDelay)
 	slot := f.started.Add(f.params.StartDelay + round*time.Duration(index)/time.Duration(max(missing, 1)))
 	if slot.Before(from) {
 		slot = slot.Add((from.Sub(slot) + round - 1) / round * round)
@@ -36,8 +36,8 @@
 
 // slot returns when a piece is next scheduled for download at or after from; the schedule repeats in rounds.
 func (f *Feed) slot(piece int, from time.Time) time.Time {
-	round := max(time.Duration(len(f.have))*f.params.DrawEvery, f.params.RankDelay)
-	slot := f.started.Add(f.params.StartDelay + time.Duration(piece)*f.params.DrawEvery)
+	round := max(time.Duration(len(f.have))*f.params.DownloadInterval, f.params.RankDelay)
+	slot := f.started.Add(f.params.StartDelay + time.Duration(piece)*f.params.DownloadInterval)
 	if slot.Before(from) {
 		slot = slot.Add((from.Sub(slot) + round - 1) / round * round)
 	}
@@ -56,7 +56,7 @@
 	if slot := f.slot(piece, f.started); f.originUpAt.IsZero() || slot.After(f.originUpAt) {
 		return slot
 	}
-	return f.originUpAt.Add(time.Duration(f.backlog) * f.params.DrawEvery)
+	return f.originUpAt.Add(time.Duration(f.backlog) * f.params.DownloadInterval)
 }
 
 // unheldPieces returns how many pieces no box is known to hold.
@@ -80,8 +80,8 @@
 	f.meanLag += (min(lag, 2*f.meanLag) - f.meanLag) / lagSmoothing
 }
 
-// Drawer reports whether this box is the piece's downloader, so that others wait for its announcement.
-func (f *Feed) Drawer(piece int) bool { return f.ranks[f.order.Group(piece)][0] == 0 }
+// IsDownloader reports whether this box is the piece's downloader, so that others wait for its announcement.
+func (f *Feed) IsDownloader(piece int) bool { return f.ranks[f.order.Group(piece)][0] == 0 }
 
 // nextDownloads chooses pieces to download: this box's own by the schedule, those of earlier ranks when they are overdue.
 func (f *Feed) nextDownloads(now time.Time) []Action {
@@ -92,7 +92,7 @@
 		}
 		if !f.have[piece] && !f.downloading[piece] && f.mayDownload(piece, now) {
 			f.downloading[piece] = true
-			actions = append(actions, Action{Chunk: piece, Draw: true, Rank: f.ranks[f.order.Group(piece)][0]})
+			actions = append(actions, Action{Chunk: piece, Download: true, Rank: f.ranks[f.order.Group(piece)][0]})
 		}
 	}
 	return actions
--- a/swarm/feedfixture_test.go
+++ b/swarm/feedfixture_test.go
@@ -59,7 +59,7 @@
 		requests: make(map[string][]simRequest), uplinkBusyUntil: make(map[string]time.Time), downlinkBusyUntil: make(map[string]time.Time),
 	}
 	for _, member := range members {
-		w.feeds[member.ID] = NewFeed(FeedParams{DrawEvery: originTime}, member, w.order, have(member), w.now)
+		w.feeds[member.ID] = NewFeed(FeedParams{DownloadInterval: originTime}, member, w.order, have(member), w.now)
 	}
 	for _, member := range members {
 		w.link(member)
@@ -102,14 +102,14 @@
 
 func (w *feedSim) apply(member Member, action Action) {
 	switch {
-	case action.Drop:
+	case action.Cancel:
 		w.requests[action.Peer] = slices.DeleteFunc(w.requests[action.Peer], func(a simRequest) bool {
 			return a.to == member.ID && a.piece == action.Chunk
 		})
-	case action.Draw && w.originDown():
+	case action.Download && w.originDown():
 		w.failedDownloads++
-		w.after(w.downloadHang, func() { w.feeds[member.ID].DrawUnreached(action.Chunk, w.now) })
-	case action.Draw:
+		w.after(w.downloadHang, func() { w.feeds[member.ID].OriginUnreachable(action.Chunk, w.now) })
+	case action.Download:
 		w.downloads++
 		w.uplinkBusyUntil["origin"] = later(w.now, w.uplinkBusyUntil["origin"]).Add(originTime)
 		w.maxOriginQueue = max(w.maxOriginQueue, w.uplinkBusyUntil["origin"].Sub(w.now))
@@ -150,7 +150,7 @@
 	case w.dead[to]:
 		return
 	case w.corrupts[from]:
-		f.Failed(piece, from, w.now)
+		f.RequestFailed(piece, from, w.now)
 		return
 	case f.Holds(piece):
 		w.duplicates++
@@ -158,14 +158,14 @@
 	case from != "" && w.site(from) != f.self.Site:
 		w.crossings++
 	}
-	f.Got(piece, from, queued, w.now)
+	f.Received(piece, from, queued, w.now)
 	pieces := []uint32{uint32(piece)}
 	if f.Complete() {
 		pieces = f.Held()
 	}
 	queue := len(w.requests[to])
 	for _, other := range w.order.members {
-		if other.ID != to && (other.Site == f.self.Site || f.Drawer(piece) || from == "" || f.Complete()) {
+		if other.ID != to && (other.Site == f.self.Site || f.IsDownloader(piece) || from == "" || f.Complete()) {
 			if w.feeds[other.ID].peers[to] != nil {
 				w.announcements++
 			}
--- a/swarm/feedparams.go
+++ b/swarm/feedparams.go
@@ -17,9 +17,9 @@
 	MaxRequests int
 	// MaxDownloads bounds the concurrent downloads from the origin.
 	MaxDownloads int
-	// DrawEvery is the origin link's time for one piece. Over all boxes, pieces are downloaded one after the other, so that
+	// DownloadInterval is the origin link's time for one piece. Over all boxes, pieces are downloaded one after the other, so that
 	// the first can be forwarded at once.
-	DrawEvery time.Duration
+	DownloadInterval time.Duration
 }
 
 // Defaults of FeedParams.
@@ -57,11 +57,11 @@
 	return p
 }
 
-// DrawnAfter returns the time from the start of a version until all its pieces are downloaded; 0 if the origin's rate is
+// DownloadTime returns the time from the start of a version until all its pieces are downloaded; 0 if the origin's rate is
 // unknown.
-func (p FeedParams) DrawnAfter(pieces int) time.Duration {
-	if p.DrawEvery <= 0 {
+func (p FeedParams) DownloadTime(pieces int) time.Duration {
+	if p.DownloadInterval <= 0 {
 		return 0
 	}
-	return p.withDefaults().StartDelay + time.Duration(pieces)*p.DrawEvery
+	return p.withDefaults().StartDelay + time.Duration(pieces)*p.DownloadInterval
 }
--- a/swarm/node.go
+++ b/swarm/node.go
@@ -28,14 +28,14 @@
 	salt         uint64
 }
 
-// Action is one thing to do now: request Chunk from Peer or, with Draw, download it from the origin.
+// Action is one thing to do now: request Chunk from Peer or, with Download, download it from the origin.
 // Rank is this box's rank for the chunk's group. Drop cancels an earlier request for the chunk.
 type Action struct {
-	Chunk int
-	Peer  string
-	Draw  bool
-	Rank  int
-	Drop  bool
+	Chunk    int
+	Peer     string
+	Download bool
+	Rank     int
+	Cancel   bool
 }
 
 // Fault is the reason why a peer did not deliver a chunk.
@@ -87,17 +87,17 @@
 // Complete reports whether all chunks are held.
 func (n *Node) Complete() bool { return n.missing == 0 }
 
-// DrawFailed records that a chunk's download from the origin failed.
-func (n *Node) DrawFailed(chunk int, now time.Time) {
+// DownloadFailed records that a chunk's download from the origin failed.
+func (n *Node) DownloadFailed(chunk int, now time.Time) {
 	delete(n.downloading, chunk)
-	n.BlockGroup(n.order.Group(chunk), now.Add(n.params.RankWait))
+	n.BlockGroup(n.order.Group(chunk), now.Add(n.params.RankDelay))
 }
 
 // minRetryDelay is the shortest time without requests to a peer that did not deliver a chunk.
 const minRetryDelay = 20 * time.Millisecond
 
-// Failed records that a peer did not deliver a requested chunk, and why.
-func (n *Node) Failed(chunk int, from string, fault Fault, now time.Time) {
+// RequestFailed records that a peer did not deliver a requested chunk, and why.
+func (n *Node) RequestFailed(chunk int, from string, fault Fault, now time.Time) {
 	n.release(chunk, from)
 	p := n.peers[from]
 	if p == nil {
@@ -108,7 +108,7 @@
 	case FaultDeclined:
 		p.pausedUntil = p.retryAt
 	case FaultStalled:
-		p.pausedUntil = now.Add(n.params.Patience)
+		p.pausedUntil = now.Add(n.params.RequestTimeout)
 		p.faults++
 	case FaultCorrupt:
 		p.faults++
@@ -119,8 +119,8 @@
 	}
 }
 
-// Got records that a chunk arrived and was verified; from is empty for the origin. It reports whether the chunk was new.
-func (n *Node) Got(chunk int, from string, now time.Time) bool {
+// Received records that a chunk arrived and was verified; from is empty for the origin. It reports whether the chunk was new.
+func (n *Node) Received(chunk int, from string, now time.Time) bool {
 	if a, ok := n.requests[chunk]; ok && a.peer == from {
 		n.observe(now.Sub(a.since))
 		n.peers[from].faults = 0
@@ -181,10 +181,10 @@
 
 // expire fails requests that exceed the timeout, so that the chunk is requested elsewhere.
 func (n *Node) expire(now time.Time) {
-	timeout := max(n.params.Patience, timeoutFactor*n.meanTime)
+	timeout := max(n.params.RequestTimeout, timeoutFactor*n.meanTime)
 	for chunk, a := range n.requests {
 		if now.Sub(a.since) > timeout {
-			n.Failed(chunk, a.peer, FaultStalled, now)
+			n.RequestFailed(chunk, a.peer, FaultStalled, now)
 		}
 	}
 }
--- a/swarm/order.go
+++ b/swarm/order.go
@@ -50,8 +50,8 @@
 	return min(o.chunks, MaxGroups)
 }
 
-// Homes returns the gateway of each site for a group, the downloader's site first.
-func (o *Order) Homes(group int) []Member {
+// Gateways returns the gateway of each site for a group, the downloader's site first.
+func (o *Order) Gateways(group int) []Member {
 	var gateways []Member
 	seen := make(map[string]bool)
 	for _, i := range o.ranked[group] {
@@ -81,7 +81,7 @@
 // tree of sites, then the downloader. The downloader's site uses the next gateway, since a replaced downloader may lack
 // chunks that others hold.
 func (o *Order) Sources(group int, site string) []Member {
-	gateways := o.Homes(group)
+	gateways := o.Gateways(group)
 	index := slices.IndexFunc(gateways, func(m Member) bool { return m.Site == site })
 	if index < 0 || len(gateways) < 2 {
 		return nil
--- a/swarm/params.go
+++ b/swarm/params.go
@@ -18,10 +18,10 @@
 	MaxRequestsPerPeer int
 	// MaxDownloads bounds the concurrent downloads from the origin.
 	MaxDownloads int
-	// Patience is the shortest time after which an unanswered request counts as stalled.
-	Patience time.Duration
-	// RankWait is the extra delay of each rank before it downloads from the origin or fetches across sites.
-	RankWait time.Duration
+	// RequestTimeout is the shortest time after which an unanswered request counts as stalled.
+	RequestTimeout time.Duration
+	// RankDelay is the extra delay of each rank before it downloads from the origin or fetches across sites.
+	RankDelay time.Duration
 	// FaultPause is how long a peer gets no requests after repeated faults.
 	FaultPause time.Duration
 }
@@ -32,7 +32,7 @@
 	DefaultMaxRequestsPerPeer = 2
 	DefaultMaxDownloads       = 1
 	DefaultRequestTimeout     = 2 * time.Second
-	DefaultRankWait           = 3 * time.Second
+	DefaultRankDelay          = 3 * time.Second
 	DefaultFaultPause         = 30 * time.Second
 
 	// timeoutFactor times the mean time of a chunk is the request timeout.
@@ -49,8 +49,8 @@
 	p.MaxRequests = cmp.Or(p.MaxRequests, DefaultMaxRequests)
 	p.MaxRequestsPerPeer = cmp.Or(p.MaxRequestsPerPeer, DefaultMaxRequestsPerPeer)
 	p.MaxDownloads = cmp.Or(p.MaxDownloads, DefaultMaxDownloads)
-	p.Patience = cmp.Or(p.Patience, DefaultRequestTimeout)
-	p.RankWait = cmp.Or(p.RankWait, DefaultRankWait)
+	p.RequestTimeout = cmp.Or(p.RequestTimeout, DefaultRequestTimeout)
+	p.RankDelay = cmp.Or(p.RankDelay, DefaultRankDelay)
 	p.FaultPause = cmp.Or(p.FaultPause, DefaultFaultPause)
 	return p
 }
--- a/swarm/replaced_test.go
+++ b/swarm/replaced_test.go
@@ -32,10 +32,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			n := NewNode(Params{Self: self, RankWait: time.Second}, NewOrder("salt", chunks, test.members), nil, testStart)
+			n := NewNode(Params{Self: self, RankDelay: time.Second}, NewOrder("salt", chunks, test.members), nil, testStart)
 			test.happens(n)
 			for _, action := range n.Next(testStart.Add(100 * time.Millisecond)) {
-				if action.Draw {
+				if action.Download {
 					t.Errorf("chunk %d is downloaded", action.Chunk)
 				}
 			}
--- a/swarm/swarm_test.go
+++ b/swarm/swarm_test.go
@@ -47,7 +47,7 @@
 		permits: make(map[int]int), fault: func() Fault { return noFault },
 	}
 	for _, member := range members {
-		params := Params{Self: member, Prefer: prefer, RankWait: time.Second, Patience: time.Second, FaultPause: 3 * time.Second}
+		params := Params{Self: member, Prefer: prefer, RankDelay: time.Second, RequestTimeout: time.Second, FaultPause: 3 * time.Second}
 		w.nodes[member.ID] = NewNode(params, w.order, nil, w.now)
 	}
 	return w
@@ -58,7 +58,7 @@
 // link connects a node with its neighbours and cross-site sources.
 func (w *nodeSim) link(id string) {
 	n := w.nodes[id]
-	wanted := append(Neighbours(n.params.Self, w.order.members), n.CrossLinks(w.now)...)
+	wanted := append(Neighbours(n.params.Self, w.order.members), n.CrossSitePeers(w.now)...)
 	for _, member := range wanted {
 		if w.dead[member.ID] || n.peers[member.ID] != nil {
 			continue
@@ -103,10 +103,10 @@
 }
 
 func (w *nodeSim) start(id string, action Action) {
-	if action.Draw {
+	if action.Download {
 		group := w.order.Group(action.Chunk)
 		if n := w.nodes[id]; w.permits[group] >= MaxPermits && !n.Holds(action.Chunk) && w.downloads[action.Chunk] >= MaxPermits {
-			n.DrawFailed(action.Chunk, w.now)
+			n.DownloadFailed(action.Chunk, w.now)
 			return
 		}
 		w.downloads[action.Chunk]++
@@ -122,19 +122,19 @@
 	if w.dead[e.to] {
 		return
 	}
-	if !e.action.Draw {
+	if !e.action.Download {
 		if w.dead[e.action.Peer] {
 			return
 		}
 		if fault := w.fault(); fault != noFault {
-			n.Failed(e.action.Chunk, e.action.Peer, fault, w.now)
+			n.RequestFailed(e.action.Chunk, e.action.Peer, fault, w.now)
 			return
 		}
 		if from := w.nodes[e.action.Peer].params.Self.Site; from != n.params.Self.Site {
 			w.crossings[fmt.Sprint(n.params.Self.Site, "/", e.action.Chunk)]++
 		}
 	}
-	if !n.Got(e.action.Chunk, e.action.Peer, w.now) {
+	if !n.Received(e.action.Chunk, e.action.Peer, w.now) {
 		return
 	}
 	for _, other := range w.nodes {
@@ -240,7 +240,7 @@
 	n.PeerHas(members[1].ID, true, []uint32{0}, testStart)
 	for range faultsBeforePause {
 		n.requests[0] = chunkRequest{peer: members[1].ID, since: testStart}
-		n.Failed(0, members[1].ID, FaultCorrupt, testStart)
+		n.RequestFailed(0, members[1].ID, FaultCorrupt, testStart)
 	}
 	later := testStart.Add(time.Second)
 	if actions := n.Next(later); len(actions) != 1 || actions[0].Peer != members[1].ID {
@@ -282,7 +282,7 @@
 			o := NewOrder("salt", tc.chunks, testMembers(tc.boxes, tc.sites))
 			downloads, gateways := make(map[string]int), make(map[string]int)
 			for group := range o.Groups() {
-				for i, gateway := range o.Homes(group) {
+				for i, gateway := range o.Gateways(group) {
 					gateways[gateway.ID]++
 					if i == 0 {
 						downloads[gateway.ID]++
--- a/transfer/peer.go
+++ b/transfer/peer.go
@@ -155,7 +155,7 @@
 	p.t.mu.Lock()
 	defer p.t.mu.Unlock()
 	p.t.progress.Rejected += corruptCount(err)
-	r.node.Failed(int(m.Chunk), p.member.ID, fault, time.Now())
+	r.node.RequestFailed(int(m.Chunk), p.member.ID, fault, time.Now())
 	p.t.wakeUp()
 }
 
@@ -164,7 +164,7 @@
 	defer p.t.mu.Unlock()
 	r := p.t.current
 	if r != nil && r.node != nil && r.target.Short() == m.Manifest {
-		r.node.Failed(int(m.Chunk), p.member.ID, swarm.FaultDeclined, time.Now())
+		r.node.RequestFailed(int(m.Chunk), p.member.ID, swarm.FaultDeclined, time.Now())
 		p.t.wakeUp()
 	}
 }
--- a/transfer/run.go
+++ b/transfer/run.go
@@ -72,7 +72,7 @@
 func (t *Transfer) download(r *run, action swarm.Action) {
 	if !t.acquirePermit(r, action) {
 		t.mu.Lock()
-		r.node.DrawFailed(action.Chunk, time.Now())
+		r.node.DownloadFailed(action.Chunk, time.Now())
 		t.mu.Unlock()
 		return
 	}
@@ -92,7 +92,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.progress.Rejected += corruptCount(err)
-	r.node.DrawFailed(action.Chunk, time.Now())
+	r.node.DownloadFailed(action.Chunk, time.Now())
 }
 
 // acquirePermit makes sure of a permit for the chunk's group; a permit covers each chunk once. While the table is
@@ -135,7 +135,7 @@
 	}
 	isNew := false
 	for _, i := range r.indices[digest] {
-		if r.node.Got(i, from, time.Now()) {
+		if r.node.Received(i, from, time.Now()) {
 			isNew = true
 			t.queueAnnouncement(r, uint32(i))
 		}
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -175,7 +175,7 @@
 	defer t.mu.Unlock()
 	wanted := swarm.Neighbours(t.cfg.Params.Self, t.members)
 	if t.current != nil && t.current.node != nil && !t.current.node.Complete() {
-		wanted = append(wanted, t.current.node.CrossLinks(time.Now())...)
+		wanted = append(wanted, t.current.node.CrossSitePeers(time.Now())...)
 	}
 	return wanted
 }
@@ -302,13 +302,13 @@
 		return
 	}
 	for _, action := range r.node.Next(time.Now()) {
-		if action.Draw {
+		if action.Download {
 			go t.download(r, action)
 			continue
 		}
 		p := t.peers[action.Peer]
 		if p == nil || !p.enqueue(&link.Want{Manifest: r.target.Short(), Chunk: uint32(action.Chunk)}) {
-			r.node.Failed(action.Chunk, action.Peer, swarm.FaultDeclined, time.Now())
+			r.node.RequestFailed(action.Chunk, action.Peer, swarm.FaultDeclined, time.Now())
 		}
 	}
 }
