--- a/claim/claims_test.go
+++ b/claim/claims_test.go
@@ -29,7 +29,7 @@
 	for name, lost := range map[string]int{"responses arrive": 0, "one response lost": 1, "responses lost": 4} {
 		t.Run(name, func(t *testing.T) {
 			claims, table := newClaims(t)
-			table.Faults.LoseAnswers(lost)
+			table.Faults.LoseResponses(lost)
 			var acquired atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 8 {
@@ -95,7 +95,7 @@
 
 func TestTakeOut(t *testing.T) {
 	claims, table := newClaims(t)
-	table.Faults.SetOut(true)
+	table.Faults.SetUnavailable(true)
 	var unavailable *claim.UnavailableError
 	if err := claims.Acquire(context.Background(), "team", "key", newClaim("a")); !errors.As(err, &unavailable) {
 		t.Errorf("error %v, want UnavailableError while the table is down", err)
--- a/lab/control.go
+++ b/lab/control.go
@@ -171,7 +171,7 @@
 
 // audit compares the outcomes reported to operators with the ledger's history.
 func (x *control) audit(ctx context.Context) error {
-	x.rig.Platform.Table.Faults.SetOut(false)
+	x.rig.Platform.Table.Faults.SetUnavailable(false)
 	changes, err := ledger.New(x.rig.table()).History(ctx, RigFleet, len(x.accepted)+len(x.refused)+10)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 	return func() {
 		cancel()
 		<-done
-		x.rig.Platform.Table.Faults.SetOut(false)
+		x.rig.Platform.Table.Faults.SetUnavailable(false)
 	}
 }
 
@@ -225,7 +225,7 @@
 		_ = box.Start()
 	}
 	if slices.Contains(x.cfg.Faults, FaultOutage) {
-		x.rig.Platform.Table.Faults.SetOut(n%6 >= 4)
+		x.rig.Platform.Table.Faults.SetUnavailable(n%6 >= 4)
 	}
 	if slices.Contains(x.cfg.Faults, FaultCut) {
 		other := x.rig.Boxes[(n+len(x.rig.Boxes)/2)%len(x.rig.Boxes)]
--- a/lab/drive.go
+++ b/lab/drive.go
@@ -327,17 +327,17 @@
 		schedule(0.75, func() { _ = boxes[3%d.cfg.Boxes].Start() })
 	}
 	if d.hasFault(FaultOutage) {
-		d.rig.Platform.Table.Faults.SetOut(true)
+		d.rig.Platform.Table.Faults.SetUnavailable(true)
 	}
 	if d.hasFault(FaultLag) {
-		d.rig.Platform.Live.Faults.SetOut(true)
+		d.rig.Platform.Live.Faults.SetUnavailable(true)
 	}
 	return func() {
 		for _, timer := range timers {
 			timer.Stop()
 		}
-		d.rig.Platform.Table.Faults.SetOut(false)
-		d.rig.Platform.Live.Faults.SetOut(false)
+		d.rig.Platform.Table.Faults.SetUnavailable(false)
+		d.rig.Platform.Live.Faults.SetUnavailable(false)
 	}
 }
 
--- a/lab/faults.go
+++ b/lab/faults.go
@@ -14,8 +14,8 @@
 	lostResponses int
 }
 
-// LoseAnswers makes the next n writes succeed but lose their response: the caller gets status 503.
-func (f *Faults) LoseAnswers(n int) {
+// LoseResponses makes the next n writes succeed but lose their response: the caller gets status 503.
+func (f *Faults) LoseResponses(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lostResponses = n
@@ -28,8 +28,8 @@
 	f.delay = d
 }
 
-// SetOut makes the service answer 503 to all calls, or ends that.
-func (f *Faults) SetOut(out bool) {
+// SetUnavailable makes the service answer 503 to all calls, or ends that.
+func (f *Faults) SetUnavailable(out bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unavailable = out
--- a/lab/rig_test.go
+++ b/lab/rig_test.go
@@ -275,8 +275,8 @@
 	if err != nil || other.Status != http.StatusUnprocessableEntity || other.Outcome != "not-run" {
 		t.Errorf("another body with the same key: %+v, %v", other, err)
 	}
-	rig.Platform.Table.Faults.SetOut(true)
-	defer rig.Platform.Table.Faults.SetOut(false)
+	rig.Platform.Table.Faults.SetUnavailable(true)
+	defer rig.Platform.Table.Faults.SetUnavailable(false)
 	refused, err := rig.Caller(0, 0).Plain(t.Context(), RigLedger, "/slots", nil, ChatCall{ID: "slot-3", IdempotencyKey: "slot-3"})
 	if err != nil || refused.Outcome != "not-run" || runs.Count("slot-3") != 0 {
 		t.Errorf("with the table unavailable: %+v, %v, %d runs", refused, err, runs.Count("slot-3"))
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -335,8 +335,8 @@
 		}
 	}
 	if x.hasFault(FaultOutage) {
-		x.rig.Platform.Table.Faults.SetOut(true)
-		schedule(2, func() { x.rig.Platform.Table.Faults.SetOut(false) })
+		x.rig.Platform.Table.Faults.SetUnavailable(true)
+		schedule(2, func() { x.rig.Platform.Table.Faults.SetUnavailable(false) })
 	}
 	if x.hasFault(FaultNewVersion) {
 		schedule(0.25, func() {
@@ -349,7 +349,7 @@
 		for _, timer := range timers {
 			timer.Stop()
 		}
-		x.rig.Platform.Table.Faults.SetOut(false)
+		x.rig.Platform.Table.Faults.SetUnavailable(false)
 	}
 }
 
--- a/lab/standin/answer.go
+++ b/lab/standin/answer.go
@@ -42,7 +42,7 @@
 	run, refused := s.startRequest(r)
 	pushback := s.currentPushback()
 	if refused != http.StatusServiceUnavailable {
-		pushback.Rest = 0
+		pushback.Pause = 0
 	}
 	s.setPushbackHeaders(w.Header(), r.Header.Get("X-Request-Id"), pushback)
 	if refused != 0 {
@@ -56,19 +56,19 @@
 	faults, count := s.faults, s.requests
 	s.mu.Unlock()
 	switch {
-	case bytes.HasPrefix(body, []byte(DeadlyBody)):
+	case bytes.HasPrefix(body, []byte(CrashBody)):
 		time.Sleep(workTime)
 		go s.crashOn(run.ID)
 		<-r.Context().Done()
 	case faults.Hang:
 		<-r.Context().Done()
-	case isNth(faults.Lose, count):
+	case isNth(faults.DropResponse, count):
 		time.Sleep(workTime)
 		panic(http.ErrAbortHandler)
 	case isNth(faults.Fail, count):
 		s.respond(w, run, http.StatusInternalServerError, faults, count)
 	case s.Model != "":
-		s.streamEvents(w, r, run, isNth(faults.Tear, count))
+		s.streamEvents(w, r, run, isNth(faults.Truncate, count))
 	default:
 		time.Sleep(workTime)
 		s.respond(w, run, http.StatusOK, faults, count)
@@ -76,14 +76,14 @@
 }
 
 // respond sends a complete response, or a truncated one, or one followed by a second response.
-func (s *Server) respond(w http.ResponseWriter, run Run, status int, faults Harm, count int) {
+func (s *Server) respond(w http.ResponseWriter, run Run, status int, faults Faults, count int) {
 	body := PlainBody(run.ID, run.Server)
 	w.Header().Set("X-Server-Seal", Seal(run.Server, run.ID, status))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	switch {
-	case isNth(faults.Surplus, count):
+	case isNth(faults.ExtraResponse, count):
 		s.respondTwice(w, body)
-	case isNth(faults.Tear, count):
+	case isNth(faults.Truncate, count):
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body[:len(body)/2]))
 		_ = http.NewResponseController(w).Flush()
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -13,13 +13,13 @@
 )
 
 type reportBody struct {
-	Stage   string   `json:"stage"`
-	Models  []Loaded `json:"models"`
-	Busy    bool     `json:"busy"`
-	Seq     int64    `json:"seq"`
-	Waiting int      `json:"waiting"`
-	Running int      `json:"running"`
-	Born    int64    `json:"born"`
+	Stage   string        `json:"stage"`
+	Models  []LoadedModel `json:"models"`
+	Busy    bool          `json:"busy"`
+	Seq     int64         `json:"seq"`
+	Waiting int           `json:"waiting"`
+	Running int           `json:"running"`
+	Born    int64         `json:"born"`
 }
 
 func (s *Server) serveReport(w http.ResponseWriter) {
@@ -65,7 +65,7 @@
 		if bytes.Equal(s.staged[piece], Piece(version, piece)) || time.Since(s.corruptedAt[piece]) < corruptionGrace {
 			continue
 		}
-		s.Runs.recordViolation(fmt.Sprintf("%s loads version %d with a corrupt piece %d", s.id, version, piece))
+		s.Recorder.recordViolation(fmt.Sprintf("%s loads version %d with a corrupt piece %d", s.id, version, piece))
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	s.mu.Unlock()
 	if !restarted {
-		s.Beat()
+		s.WriteHeartbeat()
 	}
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// Wipe drops all staged pieces, as a power loss does.
-func (s *Server) Wipe() {
+// WipeStaged drops all staged pieces, as a power loss does.
+func (s *Server) WipeStaged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staged, s.corruptedAt = make(map[int][]byte), make(map[int]time.Time)
--- a/lab/standin/origin.go
+++ b/lab/standin/origin.go
@@ -35,15 +35,15 @@
 	served       int
 }
 
-// Name sets the newest version.
-func (o *Origin) Name(version int64) {
+// SetNewest sets the newest version.
+func (o *Origin) SetNewest(version int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.newest = version
 }
 
-// Spoil corrupts every n-th piece that is served; 0 ends that.
-func (o *Origin) Spoil(n int) {
+// CorruptEvery corrupts every n-th piece that is served; 0 ends that.
+func (o *Origin) CorruptEvery(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.corruptEvery = n
--- a/lab/standin/pushback.go
+++ b/lab/standin/pushback.go
@@ -13,12 +13,12 @@
 	Limit   float64
 	// Leaving announces that the server leaves, independently of its row.
 	Leaving bool
-	// Rest makes the server refuse all requests and ask each caller to pause for this long.
-	Rest time.Duration
+	// Pause makes the server refuse all requests and ask each caller to pause for this long.
+	Pause time.Duration
 }
 
-// Said records the pushback headers of one response.
-type Said struct {
+// PushbackRecord records the pushback headers of one response.
+type PushbackRecord struct {
 	Pushback
 	// ID is the request's ID.
 	ID     string
@@ -50,8 +50,8 @@
 	if p.Leaving {
 		h.Set("Server-Leaving", "1")
 	}
-	if p.Rest > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(p.Rest.Seconds(), 'f', -1, 64))
+	if p.Pause > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(p.Pause.Seconds(), 'f', -1, 64))
 	}
-	s.Runs.recordPushback(Said{Pushback: p, ID: id, Server: s.ID(), At: time.Now()})
+	s.Recorder.recordPushback(PushbackRecord{Pushback: p, ID: id, Server: s.ID(), At: time.Now()})
 }
--- a/lab/standin/rows.go
+++ b/lab/standin/rows.go
@@ -34,16 +34,16 @@
 
 // Service is a service of a configuration.
 type Service struct {
-	Name       string  `json:"name"`
-	HealthPath string  `json:"healthPath,omitempty"`
-	MaxConns   int     `json:"maxConns"`
-	Origin     string  `json:"origin,omitempty"`
-	LinkMbps   float64 `json:"linkMbps,omitempty"`
-	Engine     *Figure `json:"engine,omitempty"`
+	Name       string         `json:"name"`
+	HealthPath string         `json:"healthPath,omitempty"`
+	MaxConns   int            `json:"maxConns"`
+	Origin     string         `json:"origin,omitempty"`
+	LinkMbps   float64        `json:"linkMbps,omitempty"`
+	Engine     *EngineFigures `json:"engine,omitempty"`
 }
 
-// Figure holds the performance figures of an engine.
-type Figure struct {
+// EngineFigures holds the performance figures of an engine.
+type EngineFigures struct {
 	Slots      int           `json:"slots"`
 	Stride     int           `json:"stride"`
 	Chunk      int           `json:"chunk"`
@@ -51,18 +51,18 @@
 	ReadPerS   float64       `json:"read_per_s"`
 	Chunks     int           `json:"chunks"`
 	ChunkBytes int           `json:"chunkBytes"`
-	Models     []FigureModel `json:"models"`
-	Usual      Usual         `json:"usual"`
+	Models     []EngineModel `json:"models"`
+	Usual      UsualRequest  `json:"usual"`
 }
 
-// FigureModel is a model of an engine with its warm-up time in seconds.
-type FigureModel struct {
+// EngineModel is a model of an engine with its warm-up time in seconds.
+type EngineModel struct {
 	Name  string  `json:"name"`
 	WarmS float64 `json:"warmS"`
 }
 
-// Usual is the size of a usual request in tokens.
-type Usual struct {
+// UsualRequest is the size of a usual request in tokens.
+type UsualRequest struct {
 	Prompt int `json:"prompt"`
 	Answer int `json:"answer"`
 }
@@ -87,20 +87,20 @@
 	Version int64  `json:"version"`
 }
 
-// Beat is a server's row in the store, written as its heartbeat.
-type Beat struct {
-	Service string   `json:"service"`
-	Address string   `json:"address"`
-	Zone    string   `json:"zone"`
-	Slots   int      `json:"slots"`
-	State   string   `json:"state"`
-	Models  []Loaded `json:"models"`
-	Seq     int64    `json:"seq"`
-	Born    int64    `json:"born"`
+// Heartbeat is a server's row in the store, written as its heartbeat.
+type Heartbeat struct {
+	Service string        `json:"service"`
+	Address string        `json:"address"`
+	Zone    string        `json:"zone"`
+	Slots   int           `json:"slots"`
+	State   string        `json:"state"`
+	Models  []LoadedModel `json:"models"`
+	Seq     int64         `json:"seq"`
+	Born    int64         `json:"born"`
 }
 
-// Loaded is a model with the version that a server runs.
-type Loaded struct {
+// LoadedModel is a model with the version that a server runs.
+type LoadedModel struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 }
--- a/lab/standin/runs.go
+++ b/lab/standin/runs.go
@@ -21,12 +21,12 @@
 	Draining time.Time
 }
 
-// Runs records what all servers ran and the protocol violations that they observed.
-type Runs struct {
+// Recorder records what all servers ran and the protocol violations that they observed.
+type Recorder struct {
 	mu         sync.Mutex
 	runs       []Run
 	arrivals   []Arrival
-	pushbacks  []Said
+	pushbacks  []PushbackRecord
 	violations []string
 }
 
@@ -38,53 +38,53 @@
 	At      time.Time
 }
 
-// All returns all runs so far in start order.
-func (rs *Runs) All() []Run {
+// Runs returns all runs so far in start order.
+func (rs *Recorder) Runs() []Run {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return append([]Run(nil), rs.runs...)
 }
 
 // Arrivals returns all requests that reached a server.
-func (rs *Runs) Arrivals() []Arrival {
+func (rs *Recorder) Arrivals() []Arrival {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return append([]Arrival(nil), rs.arrivals...)
 }
 
-// Says returns the pushback of all responses, including empty pushback, in start order.
-func (rs *Runs) Says() []Said {
+// Pushbacks returns the pushback of all responses, including empty pushback, in start order.
+func (rs *Recorder) Pushbacks() []PushbackRecord {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	return append([]Said(nil), rs.pushbacks...)
+	return append([]PushbackRecord(nil), rs.pushbacks...)
 }
 
-// Faults returns the protocol violations observed, such as an order to load corrupt pieces.
-func (rs *Runs) Faults() []string {
+// Violations returns the protocol violations observed, such as an order to load corrupt pieces.
+func (rs *Recorder) Violations() []string {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	return append([]string(nil), rs.violations...)
 }
 
-func (rs *Runs) recordRun(run Run) {
+func (rs *Recorder) recordRun(run Run) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.runs = append(rs.runs, run)
 }
 
-func (rs *Runs) recordArrival(a Arrival) {
+func (rs *Recorder) recordArrival(a Arrival) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.arrivals = append(rs.arrivals, a)
 }
 
-func (rs *Runs) recordPushback(record Said) {
+func (rs *Recorder) recordPushback(record PushbackRecord) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.pushbacks = append(rs.pushbacks, record)
 }
 
-func (rs *Runs) recordViolation(violation string) {
+func (rs *Recorder) recordViolation(violation string) {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	rs.violations = append(rs.violations, violation)
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -19,16 +19,16 @@
 	idleTimeout     = 3 * time.Second
 )
 
-// Harm is the set of faults that a server injects; the zero value is none. A number n selects every n-th request.
-type Harm struct {
+// Faults is the set of faults that a server injects; the zero value is none. A number n selects every n-th request.
+type Faults struct {
 	// Hang starts requests and never responds.
 	Hang bool
-	// Lose runs the request and closes the connection without a response.
-	Lose int
-	// Tear truncates the response.
-	Tear int
-	// Surplus sends a second, unrequested response on the connection.
-	Surplus int
+	// DropResponse runs the request and closes the connection without a response.
+	DropResponse int
+	// Truncate truncates the response.
+	Truncate int
+	// ExtraResponse sends a second, unrequested response on the connection.
+	ExtraResponse int
 	// Fail responds with status 500.
 	Fail int
 	// Shed refuses the request with status 503 without running it.
@@ -38,16 +38,16 @@
 // Server is a model server, or a plain service when Model is empty.
 type Server struct {
 	// Address is where callers reach the server, Listen where it listens; they differ behind a proxy.
-	Address string
-	Listen  string
-	Service string
-	Zone    string
-	Model   string
-	Slots   int
-	Store   *Store
-	Runs    *Runs
-	// Died, if set, is called after a request has crashed the server.
-	Died func(request string)
+	Address  string
+	Listen   string
+	Service  string
+	Zone     string
+	Model    string
+	Slots    int
+	Store    *Store
+	Recorder *Recorder
+	// OnCrash, if set, is called after a request has crashed the server.
+	OnCrash func(request string)
 
 	mu          sync.Mutex
 	id          string
@@ -61,7 +61,7 @@
 	waiting     int
 	staged      map[int][]byte
 	corruptedAt map[int]time.Time
-	faults      Harm
+	faults      Faults
 	pushback    Pushback
 	requests    int
 	idle        chan struct{}
@@ -71,8 +71,8 @@
 // Start starts the server under a new ID; staged pieces survive a crash.
 func (s *Server) Start(version int64) error { return s.start(version, false) }
 
-// StartAgain starts the server under its old ID with no loaded version; staged pieces are kept.
-func (s *Server) StartAgain() error { return s.start(0, true) }
+// Restart starts the server under its old ID with no loaded version; staged pieces are kept.
+func (s *Server) Restart() error { return s.start(0, true) }
 
 func (s *Server) start(version int64, keepID bool) error {
 	listener, err := net.Listen("tcp", s.Listen)
@@ -86,7 +86,7 @@
 		s.id = s.newID()
 	}
 	s.draining, s.loaded, s.loading, s.seq = time.Time{}, version, false, 0
-	s.faults, s.pushback = Harm{}, Pushback{}
+	s.faults, s.pushback = Faults{}, Pushback{}
 	if s.staged == nil {
 		s.staged, s.corruptedAt = make(map[int][]byte), make(map[int]time.Time)
 	}
@@ -95,7 +95,7 @@
 	server := s.http
 	s.mu.Unlock()
 	go func() { _ = server.Serve(listener) }()
-	s.Beat()
+	s.WriteHeartbeat()
 	return nil
 }
 
@@ -104,7 +104,7 @@
 	return fmt.Sprintf("i-%s-%d", strings.NewReplacer(":", "-", ".", "-").Replace(s.Address), s.starts)
 }
 
-// Crash stops the server at once; its row stays until Forget.
+// Crash stops the server at once; its row stays until Deregister.
 func (s *Server) Crash() {
 	s.mu.Lock()
 	server := s.http
@@ -114,20 +114,20 @@
 
 func (s *Server) crashOn(request string) {
 	s.Crash()
-	if s.Died != nil {
-		s.Died(request)
+	if s.OnCrash != nil {
+		s.OnCrash(request)
 	}
 }
 
-// Forget deletes the server's row.
-func (s *Server) Forget() { s.Store.Put(TableServers, s.ID(), nil) }
+// Deregister deletes the server's row.
+func (s *Server) Deregister() { s.Store.Put(TableServers, s.ID(), nil) }
 
 // Drain announces that the server leaves; it continues to serve requests.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = time.Now()
 	s.mu.Unlock()
-	s.Beat()
+	s.WriteHeartbeat()
 }
 
 // ID returns the ID of this incarnation.
@@ -144,15 +144,15 @@
 	return s.loaded
 }
 
-// SetHarm sets the injected faults.
-func (s *Server) SetHarm(faults Harm) {
+// SetFaults sets the injected faults.
+func (s *Server) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
 }
 
-// Rot corrupts a staged piece.
-func (s *Server) Rot(piece int) {
+// CorruptPiece corrupts a staged piece.
+func (s *Server) CorruptPiece(piece int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if data := s.staged[piece]; len(data) > 0 {
@@ -161,10 +161,10 @@
 	}
 }
 
-// Beat writes the server's row.
-func (s *Server) Beat() {
+// WriteHeartbeat writes the server's row.
+func (s *Server) WriteHeartbeat() {
 	s.mu.Lock()
-	row := Beat{Service: s.Service, Address: s.Address, Zone: s.Zone, Slots: s.Slots, State: StateReady, Models: s.models(), Seq: s.seq, Born: s.born}
+	row := Heartbeat{Service: s.Service, Address: s.Address, Zone: s.Zone, Slots: s.Slots, State: StateReady, Models: s.models(), Seq: s.seq, Born: s.born}
 	if !s.draining.IsZero() {
 		row.State = StateDraining
 	}
@@ -174,11 +174,11 @@
 }
 
 // models returns the loaded models; the caller holds mu.
-func (s *Server) models() []Loaded {
+func (s *Server) models() []LoadedModel {
 	if s.Model == "" || s.loaded == 0 {
-		return []Loaded{}
+		return []LoadedModel{}
 	}
-	return []Loaded{{Name: s.Model, Version: s.loaded}}
+	return []LoadedModel{{Name: s.Model, Version: s.loaded}}
 }
 
 // ServeHTTP serves the management calls of a box and callers' requests.
@@ -198,12 +198,12 @@
 // startRequest waits for a free slot and starts the request; a status other than 0 refuses it before it has run.
 func (s *Server) startRequest(r *http.Request) (run Run, status int) {
 	id := r.Header.Get("X-Request-Id")
-	s.Runs.recordArrival(Arrival{ID: id, Service: s.Service, Server: s.ID(), At: time.Now()})
+	s.Recorder.recordArrival(Arrival{ID: id, Service: s.Service, Server: s.ID(), At: time.Now()})
 	deadline := time.Now().Add(queueTimeout)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests++
-	if s.pushback.Rest > 0 {
+	if s.pushback.Pause > 0 {
 		return Run{}, http.StatusServiceUnavailable
 	}
 	for s.loading || s.running >= s.Slots {
@@ -227,7 +227,7 @@
 		Resumed: r.Header.Get("Last-Event-Id") != "", Began: time.Now(), Draining: s.draining,
 	}
 	s.running++
-	s.Runs.recordRun(run)
+	s.Recorder.recordRun(run)
 	return run, 0
 }
 
--- a/lab/standin/settings.go
+++ b/lab/standin/settings.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Variable is the environment variable with the path of a daemon's settings file.
-const Variable = "CORALSTAIR_NODE_FILE"
+// SettingsVariable is the environment variable with the path of a daemon's settings file.
+const SettingsVariable = "CORALSTAIR_NODE_FILE"
 
 // Settings are the settings that the platform gives a daemon.
 type Settings struct {
-	ID      string
-	IP      string
-	Zone    string
-	Zones   []string
-	Link    int
-	Callers string
-	Ready   string
-	App     string
-	Service string
-	Store   string
-	Bounds  Bounds
+	ID              string
+	IP              string
+	Zone            string
+	Zones           []string
+	LinkPort        int
+	CallerAddress   string
+	ReadyAddress    string
+	UpstreamAddress string
+	Service         string
+	Store           string
+	Bounds          Bounds
 }
 
 // Bounds are the time and retry limits that daemons must keep.
@@ -42,17 +42,17 @@
 func (s Settings) String() string {
 	var text strings.Builder
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&text, format+"\n", args...) }
-	line("node = %q\nip = %q\nzone = %q\ninnerPorts = [%d, %d]", s.ID, s.IP, s.Zone, s.Link, s.Link+15)
-	if s.App != "" {
-		line("app = %q\nservice = %q", s.App, s.Service)
+	line("node = %q\nip = %q\nzone = %q\ninnerPorts = [%d, %d]", s.ID, s.IP, s.Zone, s.LinkPort, s.LinkPort+15)
+	if s.UpstreamAddress != "" {
+		line("app = %q\nservice = %q", s.UpstreamAddress, s.Service)
 	}
 	line("[zones]")
 	for _, zone := range s.Zones {
 		line("%s = %q", zone, zone)
 	}
 	line("[listen]")
-	if s.Callers != "" {
-		line("front = %q\nready = %q", s.Callers, s.Ready)
+	if s.CallerAddress != "" {
+		line("front = %q\nready = %q", s.CallerAddress, s.ReadyAddress)
 	}
 	line("[limits]\nmemoryMb = 200.0\nlinkMbps = %d.0", linkMbps)
 	line("[bounds]\ncontactMs = %d\ndrainMs = %d\ngraceS = %g\nversion_ms = %d", s.Bounds.Contact.Milliseconds(),
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -120,8 +120,8 @@
 	writeRows(w, body)
 }
 
-// Refuse makes all calls fail with an HTTP status; 0 ends that.
-func (s *Store) Refuse(status int) {
+// SetErrorStatus makes all calls fail with an HTTP status; 0 ends that.
+func (s *Store) SetErrorStatus(status int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.errorStatus = status
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -39,7 +39,7 @@
 			},
 		},
 		"response lost": {
-			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseAnswers(1) },
+			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseResponses(1) },
 			check: func(t *testing.T, cfg fleet.Config, err error) {
 				if err != nil || cfg.Revision != 1 {
 					t.Errorf("a lost response was not resolved: %+v, %v", cfg, err)
@@ -47,7 +47,7 @@
 			},
 		},
 		"several responses lost": {
-			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseAnswers(5) },
+			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.LoseResponses(5) },
 			check: func(t *testing.T, cfg fleet.Config, err error) {
 				if err != nil || cfg.Revision != 1 {
 					t.Errorf("lost responses were not resolved: %+v, %v", cfg, err)
@@ -68,7 +68,7 @@
 			},
 		},
 		"table unavailable": {
-			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.SetOut(true) },
+			before: func(_ *testing.T, _ *ledger.Ledger, table *lab.Table) { table.Faults.SetUnavailable(true) },
 			check: func(t *testing.T, _ fleet.Config, err error) {
 				var unknown *ledger.UnknownError
 				if !errors.As(err, &unknown) {
@@ -97,7 +97,7 @@
 		l := ledger.New(local)
 		ctx := context.Background()
 		operators := rapid.IntRange(2, 5).Draw(rt, "operators")
-		local.Service.Faults.LoseAnswers(rapid.IntRange(0, 4).Draw(rt, "lost"))
+		local.Service.Faults.LoseResponses(rapid.IntRange(0, 4).Draw(rt, "lost"))
 		accepted := make([]bool, operators)
 		var running sync.WaitGroup
 		for i := range operators {
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -27,7 +27,7 @@
 	for name, lost := range map[string]int{"responses arrive": 0, "responses lost": 3} {
 		t.Run(name, func(t *testing.T) {
 			table := newTable(t)
-			table.Service.Faults.LoseAnswers(lost)
+			table.Service.Faults.LoseResponses(lost)
 			var granted atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 12 {
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table.Service.Faults.LoseAnswers(1)
+	table.Service.Faults.LoseResponses(1)
 	second, err := permit.NextEpoch(ctx, table, "f", "b")
 	if err != nil || second <= first {
 		t.Errorf("epoch %d after %d: %v", second, first, err)
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -35,14 +35,14 @@
 
 // outcome is one request and its result as the caller observed it.
 type outcome struct {
-	request     standin.Ask
+	request     standin.Request
 	kind        requestKind
 	entry       int
 	incarnation int
 	sent        time.Time
 	ended       time.Time
 	abandoned   bool
-	response    standin.Answer
+	response    standin.Response
 	// revision is the configuration revision whose route the probe requested.
 	revision int64
 }
@@ -145,7 +145,7 @@
 		if c.entry < 0 || c.rng.IntN(20) == 0 {
 			c.connect()
 		}
-		if response := c.sendRequest(ctx, count); response.Cut != nil || c.rig.opts.planned != nil && response.Closes {
+		if response := c.sendRequest(ctx, count); response.Err != nil || c.rig.opts.planned != nil && response.ConnectionClose {
 			c.entry = -1
 		}
 	}
@@ -167,16 +167,16 @@
 	}}
 }
 
-func (c *caller) sendRequest(ctx context.Context, count int) standin.Answer {
+func (c *caller) sendRequest(ctx context.Context, count int) standin.Response {
 	load := c.rig.workload()
 	o := outcome{entry: c.entry, incarnation: c.rig.entries[c.entry].currentIncarnation()}
-	o.request = standin.Ask{
-		ID: fmt.Sprintf("%d-%d-%d", c.rig.opts.Seed, c.n, count), Host: host, Key: goodKey, Wait: load.timeout,
+	o.request = standin.Request{
+		ID: fmt.Sprintf("%d-%d-%d", c.rig.opts.Seed, c.n, count), Host: host, Key: goodKey, Timeout: load.timeout,
 	}
 	switch p := c.rng.Float64(); {
 	case p < 0.6:
 		o.kind, o.request.Path, o.request.Model = kindStream, streamPath, model
-		o.request.Prompt, o.request.Tokens = 50+c.rng.IntN(300), load.tokens+c.rng.IntN(load.tokenSpread)
+		o.request.PromptTokens, o.request.AnswerTokens = 50+c.rng.IntN(300), load.tokens+c.rng.IntN(load.tokenSpread)
 	case p < 0.85:
 		o.kind, o.request.Path = kindUnsafe, unsafePath
 	default:
@@ -195,8 +195,8 @@
 	o.sent = time.Now()
 	o.response = o.request.Send(reqCtx, c.client, c.rig.entryAddr(c.entry))
 	o.ended = time.Now()
-	o.abandoned = o.abandoned && o.response.Cut != nil || ctx.Err() != nil
-	if c.rig.opts.planned != nil && dialFailed(o.response.Cut) && !c.balancer.accepts(c.entry) {
+	o.abandoned = o.abandoned && o.response.Err != nil || ctx.Err() != nil
+	if c.rig.opts.planned != nil && dialFailed(o.response.Err) && !c.balancer.accepts(c.entry) {
 		// The entry has shut down and the connection was refused; a real caller connects to another one.
 		return o.response
 	}
@@ -210,8 +210,8 @@
 	for count := 0; sleep(ctx, probeInterval); count++ {
 		o := outcome{kind: kindProbe, entry: entry, incarnation: r.entries[entry].currentIncarnation()}
 		o.revision, _ = r.current()
-		o.request = standin.Ask{
-			ID: fmt.Sprintf("%d-probe-%d-%d", r.opts.Seed, entry, count), Host: host, Path: revisionPath(o.revision), Wait: time.Second,
+		o.request = standin.Request{
+			ID: fmt.Sprintf("%d-probe-%d-%d", r.opts.Seed, entry, count), Host: host, Path: revisionPath(o.revision), Timeout: time.Second,
 		}
 		reqCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		o.sent = time.Now()
--- a/soak/copy.go
+++ b/soak/copy.go
@@ -28,7 +28,7 @@
 		backwards := intN(2) == 0
 		return fault{
 			name: fmt.Sprintf("store restored from a backup %s old, rows rewritten after %s", age, late),
-			do:   func() { r.store.Refuse(http.StatusServiceUnavailable) },
+			do:   func() { r.store.SetErrorStatus(http.StatusServiceUnavailable) },
 			undo: func() { r.restoreStore(age, late, backwards) },
 		}
 	}
@@ -39,7 +39,7 @@
 	r.mu.Lock()
 	lost := r.store.Restore(latest(time.Now().Add(-age), r.startedAt))
 	r.mu.Unlock()
-	r.store.Refuse(0)
+	r.store.SetErrorStatus(0)
 	time.Sleep(late)
 	if backwards {
 		slices.Reverse(lost)
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -52,7 +52,7 @@
 // Entries connect to it without a proxy, so that its port refuses connections while it is down.
 func (r *rig) crashOnDeadly(s *standin.Server) {
 	s.Address = s.Listen
-	s.Died = func(request string) {
+	s.OnCrash = func(request string) {
 		r.crashes.add(crash{server: s.ID(), request: deadlyName(request), at: time.Now()})
 		time.AfterFunc(restartDelay, func() { r.restart(s, false) })
 	}
@@ -97,9 +97,9 @@
 	for n := 0; sleep(ctx, time.Duration(float64(deadlyInterval)*(0.5+rng.Float64()))); n++ {
 		entry := rng.IntN(len(r.entries))
 		o := outcome{kind: kindStream, entry: entry, incarnation: r.entries[entry].currentIncarnation()}
-		o.request = standin.Ask{
-			ID: deadlyID(name, n), Host: host, Path: streamPath + name, Key: goodKey, Wait: r.workload().timeout,
-			Model: model, Prompt: 100, Tokens: 50, Body: standin.DeadlyBody + " " + name,
+		o.request = standin.Request{
+			ID: deadlyID(name, n), Host: host, Path: streamPath + name, Key: goodKey, Timeout: r.workload().timeout,
+			Model: model, PromptTokens: 100, AnswerTokens: 50, Body: standin.CrashBody + " " + name,
 		}
 		reqCtx, cancel := context.WithTimeout(ctx, r.workload().timeout)
 		o.sent = time.Now()
@@ -161,7 +161,7 @@
 			continue
 		}
 		sent++
-		if o.response.Whole() {
+		if o.response.Complete() {
 			served++
 		}
 	}
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -74,7 +74,7 @@
 	s := r.plain[int(r.opts.Seed)%len(r.plain)]
 	return fault{
 		name: "lose responses of " + s.Address, at: r.opts.FaultPeriod / 2, duration: r.opts.FaultPeriod / 4,
-		do: func() { s.SetHarm(standin.Harm{Lose: 2}) }, undo: func() { s.SetHarm(standin.Harm{}) },
+		do: func() { s.SetFaults(standin.Faults{DropResponse: 2}) }, undo: func() { s.SetFaults(standin.Faults{}) },
 	}
 }
 
@@ -156,13 +156,13 @@
 			status := statuses[intN(2)]
 			return fault{
 				name: fmt.Sprintf("store responds %d", status),
-				do:   func() { r.store.Refuse(status) }, undo: func() { r.store.Refuse(0) },
+				do:   func() { r.store.SetErrorStatus(status) }, undo: func() { r.store.SetErrorStatus(0) },
 			}
 		},
 		func() fault { return fault{name: "store compacts its history", do: r.store.Compact, undo: func() {}} },
 		func() fault { return fault{name: "rows expire", do: r.expireRows, undo: r.heartbeatAll} },
 		func() fault {
-			return fault{name: "origin corrupts pieces", do: func() { r.origin.Spoil(3) }, undo: func() { r.origin.Spoil(0) }}
+			return fault{name: "origin corrupts pieces", do: func() { r.origin.CorruptEvery(3) }, undo: func() { r.origin.CorruptEvery(0) }}
 		},
 		func() fault {
 			return fault{name: "configuration", planned: true, do: func() { r.writeConfig() }, undo: func() {}}
@@ -176,19 +176,19 @@
 // serverFaults are faulty responses, corrupt pieces and crashes of servers.
 func (r *rig) serverFaults(intN func(int) int) []func() fault {
 	servers := r.servers()
-	newFault := func(name string, harm standin.Harm) func() fault {
+	newFault := func(name string, harm standin.Faults) func() fault {
 		return func() fault {
 			s := servers[intN(len(servers))]
-			return fault{name: name + " " + s.Address, do: func() { s.SetHarm(harm) }, undo: func() { s.SetHarm(standin.Harm{}) }}
+			return fault{name: name + " " + s.Address, do: func() { s.SetFaults(harm) }, undo: func() { s.SetFaults(standin.Faults{}) }}
 		}
 	}
 	return []func() fault{
-		newFault("hang", standin.Harm{Hang: true}), newFault("lose responses of", standin.Harm{Lose: 4}), newFault("truncate responses of", standin.Harm{Tear: 4}),
-		newFault("surplus responses of", standin.Harm{Surplus: 3}), newFault("fail requests at", standin.Harm{Fail: 3}), newFault("shed load at", standin.Harm{Shed: 2}),
+		newFault("hang", standin.Faults{Hang: true}), newFault("lose responses of", standin.Faults{DropResponse: 4}), newFault("truncate responses of", standin.Faults{Truncate: 4}),
+		newFault("surplus responses of", standin.Faults{ExtraResponse: 3}), newFault("fail requests at", standin.Faults{Fail: 3}), newFault("shed load at", standin.Faults{Shed: 2}),
 		func() fault {
 			s := r.engines[intN(len(r.engines))]
 			piece := intN(standin.Pieces)
-			return fault{name: "corrupt a piece at " + s.Address, do: func() { s.Rot(piece) }, undo: func() {}}
+			return fault{name: "corrupt a piece at " + s.Address, do: func() { s.CorruptPiece(piece) }, undo: func() {}}
 		},
 		func() fault {
 			s := servers[intN(len(servers))]
@@ -217,7 +217,7 @@
 			s, entry := servers[intN(len(servers))], foreignEntries[intN(len(foreignEntries))]
 			return fault{
 				name: "foreign entry at " + s.Address,
-				do:   func() { r.store.Put(standin.TableServers, s.ID(), entry) }, undo: s.Beat,
+				do:   func() { r.store.Put(standin.TableServers, s.ID(), entry) }, undo: s.WriteHeartbeat,
 			}
 		},
 	}
@@ -231,28 +231,28 @@
 // restartSameID restarts a server under its previous ID.
 func (r *rig) restartSameID(s *standin.Server) {
 	s.Crash()
-	_ = s.StartAgain()
+	_ = s.Restart()
 }
 
 // expireRows deletes the list entries of all servers, as a store does after a long outage.
 func (r *rig) expireRows() {
 	for _, s := range r.servers() {
-		s.Forget()
+		s.Deregister()
 	}
 }
 
 func (r *rig) heartbeatAll() {
 	for _, s := range r.servers() {
-		s.Beat()
+		s.WriteHeartbeat()
 	}
 }
 
 // restart restarts a crashed server under a new ID; no version is loaded until its box orders it.
 func (r *rig) restart(s *standin.Server, wiped bool) {
 	s.Crash()
-	s.Forget()
+	s.Deregister()
 	if wiped {
-		s.Wipe()
+		s.WipeStaged()
 	}
 	_ = s.Start(0)
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -26,7 +26,7 @@
 	faultSpans  []faultSpan
 	recovery    recoveryPhase
 	crashes     []crash
-	pushbacks   []standin.Said
+	pushbacks   []standin.PushbackRecord
 	outcomeByID map[string]outcome
 	violations  []string
 	lost        []string
@@ -68,7 +68,7 @@
 		c.checkPlannedStops()
 		c.checkRecovery()
 	}
-	for _, violation := range c.rig.runs.Faults() {
+	for _, violation := range c.rig.runs.Violations() {
 		c.reportf("weights: %s", violation)
 	}
 	for _, p := range c.rig.daemons() {
@@ -83,8 +83,8 @@
 func (c *checker) checkResponses() {
 	for _, o := range c.outcomes {
 		switch {
-		case o.response.Wrong != "":
-			c.reportf("response: %s from entry %d: %s", o.request.ID, o.entry+1, o.response.Wrong)
+		case o.response.Violation != "":
+			c.reportf("response: %s from entry %d: %s", o.request.ID, o.entry+1, o.response.Violation)
 		case o.kind == kindProbe:
 		case o.request.Key == goodKey && o.response.Denied():
 			c.reportf("denied: %s was denied by entry %d with status %d", o.request.ID, o.entry+1, o.response.Status)
@@ -164,7 +164,7 @@
 		ran[run.ID] = true
 	}
 	for _, o := range c.outcomes {
-		if o.response.Cut == nil || o.abandoned || o.kind == kindProbe || !ran[o.request.ID] || o.ended.Sub(o.sent) > callerTimeout*7/10 {
+		if o.response.Err == nil || o.abandoned || o.kind == kindProbe || !ran[o.request.ID] || o.ended.Sub(o.sent) > callerTimeout*7/10 {
 			continue
 		}
 		operation, otherFault := "", false
@@ -179,7 +179,7 @@
 			}
 		}
 		if operation != "" && !otherFault {
-			c.reportf("cut: %s at entry %d was interrupted during %s: %v", o.request.ID, o.entry+1, operation, o.response.Cut)
+			c.reportf("cut: %s at entry %d was interrupted during %s: %v", o.request.ID, o.entry+1, operation, o.response.Err)
 		}
 	}
 }
@@ -235,7 +235,7 @@
 			continue
 		}
 		sent++
-		if o.response.Whole() {
+		if o.response.Complete() {
 			served++
 		}
 	}
--- a/soak/planned.go
+++ b/soak/planned.go
@@ -40,12 +40,12 @@
 func (c *checker) checkNothingLost() {
 	for _, o := range c.outcomes {
 		a := o.response
-		if o.kind == kindProbe || o.abandoned || a.Cut == nil && (a.Status == http.StatusOK || a.Status == http.StatusUnauthorized || a.Back != "") {
+		if o.kind == kindProbe || o.abandoned || a.Err == nil && (a.Status == http.StatusOK || a.Status == http.StatusUnauthorized || a.RetryAfter != "") {
 			continue
 		}
 		what := fmt.Sprintf("status %d without Retry-After", a.Status)
-		if a.Cut != nil {
-			what = a.Cut.Error()
+		if a.Err != nil {
+			what = a.Err.Error()
 		}
 		var ran []string
 		for _, run := range c.runs {
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -81,7 +81,7 @@
 		f.undo = func() { r.restart(s, false) }
 	default:
 		f.name = "pause requests to " + s.Address
-		f.do = func() { s.SetPushback(standin.Pushback{Rest: pauseTime}) }
+		f.do = func() { s.SetPushback(standin.Pushback{Pause: pauseTime}) }
 	}
 	return f
 }
@@ -110,11 +110,11 @@
 	}
 	requests, served := 0, 0
 	for _, o := range c.outcomes {
-		if o.kind == kindProbe || o.abandoned || o.request.Key != goodKey || o.response.Cut != nil {
+		if o.kind == kindProbe || o.abandoned || o.request.Key != goodKey || o.response.Err != nil {
 			continue
 		}
 		requests++
-		if o.response.Whole() {
+		if o.response.Complete() {
 			served++
 		}
 	}
@@ -125,7 +125,7 @@
 
 // checkLimits checks the request rate of each limited server, counting only entries that have received a limit.
 func (c *checker) checkLimits() {
-	signalsBy := make(map[string][]standin.Said)
+	signalsBy := make(map[string][]standin.PushbackRecord)
 	allowed, sent := 0.0, 0.0
 	for _, s := range c.pushbacks {
 		signalsBy[s.Server] = append(signalsBy[s.Server], s)
@@ -162,7 +162,7 @@
 }
 
 // allowedRequests returns how many requests the announced limits allow, each until the next response.
-func allowedRequests(signals []standin.Said) float64 {
+func allowedRequests(signals []standin.PushbackRecord) float64 {
 	n := 0.0
 	for i, s := range signals[:len(signals)-1] {
 		if s.Limited {
@@ -173,7 +173,7 @@
 }
 
 // checkLimit checks each window against the highest limit announced around it.
-func (c *checker) checkLimit(server string, arrived []time.Time, signals []standin.Said) {
+func (c *checker) checkLimit(server string, arrived []time.Time, signals []standin.PushbackRecord) {
 	for i, from := range arrived {
 		until := from.Add(limitWindow)
 		n := 0
@@ -217,18 +217,18 @@
 func (c *checker) checkPauses() {
 	for _, s := range c.pushbacks {
 		by, ok := c.receiverOf(s.ID, s.Server)
-		if !ok || s.Rest == 0 {
+		if !ok || s.Pause == 0 {
 			continue
 		}
 		n := 0
 		for _, a := range c.arrivals {
 			sender, known := c.receiverOf(a.ID, a.Server)
-			if known && sender == by && a.At.After(s.At.Add(reactionTime)) && a.At.Before(s.At.Add(s.Rest)) {
+			if known && sender == by && a.At.After(s.At.Add(reactionTime)) && a.At.Before(s.At.Add(s.Pause)) {
 				n++
 			}
 		}
 		if n > pauseSlack {
-			c.reportf("pause: %s asked entry %d for a pause of %s and got %d requests from it in that time", s.Server, by.entry+1, s.Rest, n)
+			c.reportf("pause: %s asked entry %d for a pause of %s and got %d requests from it in that time", s.Server, by.entry+1, s.Pause, n)
 		}
 	}
 	c.violations = slices.CompactFunc(c.violations, func(a, b string) bool { return a == b })
--- a/soak/rig.go
+++ b/soak/rig.go
@@ -54,7 +54,7 @@
 	block   int
 	store   *standin.Store
 	origin  *standin.Origin
-	runs    *standin.Runs
+	runs    *standin.Recorder
 	engines []*standin.Server
 	plain   []*standin.Server
 	entries []*process
@@ -75,7 +75,7 @@
 }
 
 func newRig(opts Options) (*rig, error) {
-	r := &rig{opts: opts, store: standin.NewStore(), origin: &standin.Origin{}, runs: &standin.Runs{}, block: int(opts.Seed % addressBlocks)}
+	r := &rig{opts: opts, store: standin.NewStore(), origin: &standin.Origin{}, runs: &standin.Recorder{}, block: int(opts.Seed % addressBlocks)}
 	err := errors.Join(
 		r.serveStore(),
 		r.serve(hostPort(r.ip(9, 2), originPort), r.origin),
@@ -152,7 +152,7 @@
 		ip := r.ip(group, n)
 		s := &standin.Server{
 			Address: hostPort(ip, hopPort), Listen: hostPort(ip, serverPort),
-			Service: service, Zone: sites[i%len(sites)], Slots: r.workload().slots, Store: r.store, Runs: r.runs,
+			Service: service, Zone: sites[i%len(sites)], Slots: r.workload().slots, Store: r.store, Recorder: r.runs,
 		}
 		if r.opts.Deadly > 0 {
 			r.crashOnDeadly(s)
@@ -181,9 +181,9 @@
 
 // listServer adds a list entry of a server that does not run.
 func (r *rig) listServer(n int) {
-	r.store.Put(standin.TableServers, fmt.Sprintf("i-listed-%d", n), standin.Beat{
+	r.store.Put(standin.TableServers, fmt.Sprintf("i-listed-%d", n), standin.Heartbeat{
 		Service: "listed", Address: hostPort(r.ip(100+n/250, 1+n%250), serverPort), Zone: sites[n%len(sites)],
-		Slots: r.workload().slots, State: standin.StateReady, Models: []standin.Loaded{}, Born: int64(n + 1),
+		Slots: r.workload().slots, State: standin.StateReady, Models: []standin.LoadedModel{}, Born: int64(n + 1),
 	})
 }
 
@@ -193,13 +193,13 @@
 	for i := range r.opts.Entries {
 		ip := r.ip(1, i+1)
 		errs = append(errs, r.addDaemon("entry", i, standin.Settings{
-			IP: ip, Link: linkPort, Callers: hostPort(ip, callersPort), Ready: hostPort(ip, readyPort),
+			IP: ip, LinkPort: linkPort, CallerAddress: hostPort(ip, callersPort), ReadyAddress: hostPort(ip, readyPort),
 		}, &r.entries))
 	}
 	for i, server := range r.engines {
 		ip := r.ip(2, i+1)
 		errs = append(errs, r.addDaemon("box", i, standin.Settings{
-			IP: ip, Link: boxLinkPort, App: server.Address, Service: modelService,
+			IP: ip, LinkPort: boxLinkPort, UpstreamAddress: server.Address, Service: modelService,
 		}, &r.boxes))
 		var h *hop
 		errs = append(errs, r.addHop(&h, "box-"+ip, hostPort(ip, linkPort), hostPort(ip, boxLinkPort)))
@@ -222,7 +222,7 @@
 	if err := os.WriteFile(path, []byte(settings.String()), 0o600); err != nil {
 		return err
 	}
-	p := &process{name: name, args: []string{r.opts.Daemon, role}, env: []string{standin.Variable + "=" + path}, log: r.opts.Dir}
+	p := &process{name: name, args: []string{r.opts.Daemon, role}, env: []string{standin.SettingsVariable + "=" + path}, log: r.opts.Dir}
 	*to = append(*to, p)
 	r.closers = append(r.closers, p.kill)
 	return p.start()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -114,8 +114,8 @@
 	cancel()
 	wait()
 	c := &checker{
-		rig: r, outcomes: out.list(), runs: r.runs.All(), arrivals: r.runs.Arrivals(), faultSpans: faults.list(), recovery: recovery, crashes: r.crashes.list(),
-		pushbacks: r.runs.Says(),
+		rig: r, outcomes: out.list(), runs: r.runs.Runs(), arrivals: r.runs.Arrivals(), faultSpans: faults.list(), recovery: recovery, crashes: r.crashes.list(),
+		pushbacks: r.runs.Pushbacks(),
 	}
 	return c.buildResult(opts.Seed), nil
 }
@@ -179,9 +179,9 @@
 		}
 		result.Requests++
 		switch {
-		case o.response.Whole():
+		case o.response.Complete():
 			result.Served++
-		case o.response.Cut != nil:
+		case o.response.Err != nil:
 			result.Interrupted++
 		case o.response.Refused():
 			result.Refused++
--- a/soak/storewrite.go
+++ b/soak/storewrite.go
@@ -63,10 +63,10 @@
 	}
 }
 
-func engineConfig(load workload) *standin.Figure {
-	return &standin.Figure{
+func engineConfig(load workload) *standin.EngineFigures {
+	return &standin.EngineFigures{
 		Slots: load.slots, Stride: 1, Chunk: 2048, StepMs: 3, ReadPerS: 50000, Chunks: standin.Pieces, ChunkBytes: standin.PieceBytes,
-		Models: []standin.FigureModel{{Name: model, WarmS: 0.15}}, Usual: standin.Usual{Prompt: 200, Answer: load.tokens + load.tokenSpread/2},
+		Models: []standin.EngineModel{{Name: model, WarmS: 0.15}}, Usual: standin.UsualRequest{Prompt: 200, Answer: load.tokens + load.tokenSpread/2},
 	}
 }
 
@@ -75,7 +75,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	r.origin.Name(r.version)
+	r.origin.SetNewest(r.version)
 	d := storeWrite{version: r.version, sent: time.Now()}
 	if r.version > 1 {
 		r.store.Put(standin.TableDeclared, standin.KeyVersion+model, standin.Target{Model: model, Version: r.version})
