--- a/clock/clock.go
+++ b/clock/clock.go
@@ -37,7 +37,7 @@
 	offset      time.Duration
 }
 
-// Check advances the clock by the time in which the machine was suspended since the previous Look, and returns that time.
+// Check advances the clock by the time in which the machine was suspended since the previous Check, and returns that time.
 func (w *SuspensionWatch) Check() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -31,7 +31,7 @@
 type attempt struct {
 	call         *call
 	choice       choice
-	ticket       *inFlightRequest
+	inFlight       *inFlightRequest
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	silenceTimer *time.Timer
@@ -107,7 +107,7 @@
 	if a.versionTimer != nil {
 		a.versionTimer.Stop()
 	}
-	a.ticket.release()
+	a.inFlight.release()
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
@@ -216,7 +216,7 @@
 	if a.complete.status >= http.StatusInternalServerError {
 		return resultFailed, &InvalidResponseError{Reason: a.resp.Status}
 	}
-	a.ticket.recordFirstEvent(clock.Now())
+	a.inFlight.recordFirstEvent(clock.Now())
 	return resultDone, nil
 }
 
@@ -256,7 +256,7 @@
 			return resultLost, &InvalidResponseError{Reason: "version changes within the stream"}
 		}
 		a.stopSilenceTimer()
-		a.ticket.recordFirstEvent(clock.Now())
+		a.inFlight.recordFirstEvent(clock.Now())
 		return resultDone, nil
 	}
 }
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -31,18 +31,18 @@
 	if t == nil {
 		return nil
 	}
-	a := &attempt{call: c, choice: ch, ticket: t, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
+	a := &attempt{call: c, choice: ch, inFlight: t, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
 	a.ctx, a.cancel = context.WithCancelCause(c.ctx)
 	c.sends++
 	c.excluded[ch.server.ID] = true
 	c.lastChoice = ch
-	a.ticket.onServerRestart(a.cancel)
+	a.inFlight.onServerRestart(a.cancel)
 	c.pending = append(c.pending, a)
 	if c.route.Repeatable() {
 		a.awaitsData.Store(true)
 		a.silenceTimer = time.AfterFunc(a.responseTimeout(), a.onSilence)
 		if c.service.Engine != nil {
-			a.ticket.onClosing(a.move)
+			a.inFlight.onClosing(a.move)
 			a.startVersionTimer()
 		}
 	}
--- a/forward/handover_faults_test.go
+++ b/forward/handover_faults_test.go
@@ -48,7 +48,7 @@
 				if !ok {
 					t.Error("no second server")
 				}
-				b = &attempt{call: c, choice: ch, ticket: ch.upstream.tryAcquire(0, ch.first, 1, time.Now()), primary: c.winner}
+				b = &attempt{call: c, choice: ch, inFlight: ch.upstream.tryAcquire(0, ch.first, 1, time.Now()), primary: c.winner}
 				b.ctx, b.cancel = context.WithCancelCause(c.ctx)
 				c.sends++
 				c.excluded[ch.server.ID] = true
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -24,7 +24,7 @@
 		return
 	}
 	signal, e := a.reply.Pushback, a.call.entry
-	if !a.choice.upstream.applyPushback(signal, a.ticket.sent, clock.Now(), e.limitSharers()) {
+	if !a.choice.upstream.applyPushback(signal, a.inFlight.sent, clock.Now(), e.limitSharers()) {
 		return
 	}
 	pushbacks.Inc()
--- a/forward/request.go
+++ b/forward/request.go
@@ -44,7 +44,7 @@
 	if c, ok := info.Conn.(*conn); ok {
 		a.conn = c
 		a.writtenBefore = c.beginRequest()
-		a.ticket.setConnectedAt(c.opened)
+		a.inFlight.setConnectedAt(c.opened)
 	}
 }
 
