--- a/spread/spread.go
+++ b/balance/spread.go
@@ -1,4 +1,4 @@
-package spread
+package balance
 
 import (
 	"slices"
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/coralstair/coralstair/balance"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/engine"
-	"github.com/coralstair/coralstair/spread"
 )
 
 const (
@@ -104,7 +104,7 @@
 	}
 	priceOverrun(usable, want.movable)
 	if want.service.Engine == nil || want.service.Engine.ReadRate <= 0 {
-		return usable[spread.Cheapest(costs(usable))], true
+		return usable[balance.Cheapest(costs(usable))], true
 	}
 	best = pick(usable, counts.estimateInFlight(want.service.Engine), waitPerRequest(want.service.Engine))
 	best.candidates = len(usable)
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/coralstair/coralstair/balance"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/engine"
-	"github.com/coralstair/coralstair/spread"
 )
 
 const (
@@ -35,8 +35,8 @@
 
 // estimateInFlight estimates how many requests all entries send before a report shows them, this one included, and over
 // how many a choice is spread.
-func (s requestCounts) estimateInFlight(e *contract.Engine) spread.InFlight {
-	return spread.InFlight{Unreported: 1 + s.othersSentIn(reportLag, e), Window: 1 + s.othersSentIn(reportLag+predictionMargin, e)}
+func (s requestCounts) estimateInFlight(e *contract.Engine) balance.InFlight {
+	return balance.InFlight{Unreported: 1 + s.othersSentIn(reportLag, e), Window: 1 + s.othersSentIn(reportLag+predictionMargin, e)}
 }
 
 // othersSentIn estimates how many requests the other entries send within a time, from those they have at the servers.
@@ -59,8 +59,8 @@
 
 // pick chooses among servers whose load is known with a delay, and adds to the wait what other entries have probably
 // sent there since.
-func pick(choices []choice, sent spread.InFlight, added time.Duration) choice {
-	i, others := spread.Pick(costs(choices), sent, added, rand.Float64())
+func pick(choices []choice, sent balance.InFlight, added time.Duration) choice {
+	i, others := balance.Pick(costs(choices), sent, added, rand.Float64())
 	c := choices[i]
 	c.first += time.Duration(others / 2 * float64(added))
 	return c
--- a/forward/pick_test.go
+++ b/forward/pick_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/coralstair/coralstair/balance"
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/spread"
 )
 
 func TestPick(t *testing.T) {
@@ -32,7 +32,7 @@
 		t.Run(name, func(t *testing.T) {
 			taken := 0
 			for range 1000 {
-				if pick(test.offers, spread.InFlight{Unreported: test.unseen, Window: test.unseen}, adds).server.ID == serverName(0) {
+				if pick(test.offers, balance.InFlight{Unreported: test.unseen, Window: test.unseen}, adds).server.ID == serverName(0) {
 					taken++
 				}
 			}
--- a/lab/shortage/spread.go
+++ b/lab/shortage/spread.go
@@ -4,9 +4,9 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/coralstair/coralstair/balance"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/engine"
-	"github.com/coralstair/coralstair/spread"
 )
 
 // spreadChoice admits by the entries' policy and balances over the requests that other entries send before the next report,
@@ -30,6 +30,6 @@
 	slotTime := engine.SlotTime(e, engine.Load{Decoding: total / len(loads)}).Seconds()
 	sentWithin := func(window time.Duration) float64 { return 1 + float64(total)*window.Seconds()/slotTime }
 	requestCost := engine.PrefillTime(e, e.UsualPrompt, 1) + engine.StepTime(e, e.Slots/2)
-	index, others := spread.Pick(costs, spread.InFlight{Unreported: sentWithin(reportInterval / 2), Window: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
+	index, others := balance.Pick(costs, balance.InFlight{Unreported: sentWithin(reportInterval / 2), Window: sentWithin(reportInterval/2 + s.window)}, requestCost, s.rng.Float64())
 	return placement{server: index, load: loads[index], timeToFirst: costs[index] + time.Duration(others/2*float64(requestCost))}
 }
