--- a/pace/pacer.go
+++ b/bandwidth/pacer.go
@@ -1,4 +1,4 @@
-package pace
+package bandwidth
 
 import (
 	"context"
--- a/box/box.go
+++ b/box/box.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"github.com/apex/log"
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/follower"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/membership"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/permit"
 	"github.com/coralstair/coralstair/supervise"
 	"github.com/coralstair/coralstair/swarm"
@@ -33,7 +33,7 @@
 	log          *log.Entry
 	gate         Gate
 	store        *weights.Store
-	pacer        *pace.Pacer
+	pacer        *bandwidth.Pacer
 	follower     *follower.Follower
 	members      *membership.Watcher
 	transfer     *transfer.Transfer
--- a/box/config.go
+++ b/box/config.go
@@ -5,11 +5,11 @@
 	"net/http"
 	"time"
 
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/fleet"
 	"github.com/coralstair/coralstair/follower"
 	"github.com/coralstair/coralstair/invariant"
 	"github.com/coralstair/coralstair/membership"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/permit"
 	"github.com/coralstair/coralstair/swarm"
 	"github.com/coralstair/coralstair/transfer"
@@ -42,7 +42,7 @@
 	// Slots is how many requests the upstream takes at a time; 0 means that the box sets no limit.
 	Slots int
 	// Pacer shares the box's link between requests and chunks; reads from Origin must be paced by it as well.
-	Pacer *pace.Pacer
+	Pacer *bandwidth.Pacer
 	// DrainLimit is how long a leaving box waits for requests in progress.
 	DrainLimit time.Duration
 	// Params tune the transfer of weights; the box sets Self.
@@ -72,7 +72,7 @@
 		c.Checks = new(invariant.Recorder)
 	}
 	if c.Pacer == nil {
-		c.Pacer = pace.New(0)
+		c.Pacer = bandwidth.New(0)
 	}
 	c.Params.Self = swarm.Member{ID: c.ID, Site: c.Site}
 	return c
--- a/fill/box.go
+++ b/fill/box.go
@@ -10,10 +10,10 @@
 
 	"github.com/apex/log"
 
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/machine"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/supervise"
 	"github.com/coralstair/coralstair/swarm"
 	"github.com/coralstair/coralstair/told"
@@ -48,7 +48,7 @@
 	server   *http.Server
 	links    *links
 	uploader *uploader
-	pacer    *pace.Pacer
+	pacer    *bandwidth.Pacer
 	wakeup   chan struct{}
 	// targetChanged wakes the loader.
 	targetChanged chan struct{}
@@ -74,7 +74,7 @@
 func New(cfg Config) *Box {
 	b := &Box{
 		cfg: cfg, log: cfg.Log, wakeup: make(chan struct{}, 1), targetChanged: make(chan struct{}, 1),
-		pacer: pace.New(int64(cfg.Machine.LinkRate)).WithShare(pieceLinkPercent),
+		pacer: bandwidth.New(int64(cfg.Machine.LinkRate)).WithShare(pieceLinkPercent),
 	}
 	b.links = newLinks(b)
 	b.uploader = newUploader(b)
--- a/internal/cmd/boxcmd.go
+++ b/internal/cmd/boxcmd.go
@@ -5,11 +5,11 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/box"
 	"github.com/coralstair/coralstair/dynamo"
 	"github.com/coralstair/coralstair/fleet"
 	"github.com/coralstair/coralstair/ledger"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/settings"
 )
 
@@ -39,7 +39,7 @@
 		return &box.AddressInUseError{Address: cfg.Daemon.Listen, Err: err}
 	}
 	table := newTable(cfg.Platform)
-	pacer := pace.New(cfg.LinkRate)
+	pacer := bandwidth.New(cfg.LinkRate)
 	b := box.New(box.Config{
 		ID: cfg.Daemon.ID, Fleet: cfg.Daemon.Fleet, Site: cfg.Daemon.Site, Service: cfg.Service,
 		Kind: fleet.Kind(cfg.Kind), Incarnation: newIncarnation(), Listener: listener, Advertise: cfg.Advertise,
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -12,9 +12,9 @@
 
 	"github.com/apex/log"
 
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/dynamo"
 	"github.com/coralstair/coralstair/logging"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/settings"
 	"github.com/coralstair/coralstair/tracing"
 )
@@ -102,7 +102,7 @@
 }
 
 // newObjects returns an object store client whose downloads yield bandwidth to requests.
-func newObjects(p settings.Platform, pacer *pace.Pacer) *dynamo.Objects {
+func newObjects(p settings.Platform, pacer *bandwidth.Pacer) *dynamo.Objects {
 	transport := &http.Transport{DialContext: pacer.Dialer(new(net.Dialer).DialContext)}
 	return dynamo.NewObjects(dynamo.ObjectsConfig{
 		Endpoint: p.ObjectURL, Bucket: p.Bucket, Region: p.Region,
--- a/lab/rig.go
+++ b/lab/rig.go
@@ -16,6 +16,7 @@
 	"sync"
 	"time"
 
+	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/box"
 	"github.com/coralstair/coralstair/client"
 	"github.com/coralstair/coralstair/dynamo"
@@ -25,7 +26,6 @@
 	"github.com/coralstair/coralstair/keys"
 	"github.com/coralstair/coralstair/ledger"
 	"github.com/coralstair/coralstair/membership"
-	"github.com/coralstair/coralstair/pace"
 	"github.com/coralstair/coralstair/swarm"
 	"github.com/coralstair/coralstair/weights"
 )
@@ -370,7 +370,7 @@
 	}
 	incarnation := strconv.FormatInt(time.Now().UnixNano(), 36)
 	table := b.rig.table()
-	pacer := pace.New(b.rig.cfg.LinkRate)
+	pacer := bandwidth.New(b.rig.cfg.LinkRate)
 	daemon := box.New(box.Config{
 		ID: b.ID, Fleet: RigFleet, Site: b.Site, Service: b.Service, Kind: b.kind, Incarnation: incarnation,
 		Listener: b.Link.Listener(inner), Advertise: local.Addr().String(), UpstreamURL: b.upstreamURL,
--- a/pace/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package pace gives requests priority on a box's link: chunks of weights wait for
-// the remaining bandwidth.
-package pace
