--- a/fill/box.go
+++ b/fill/box.go
@@ -14,9 +14,9 @@
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/machine"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/supervise"
 	"github.com/coralstair/coralstair/swarm"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -38,7 +38,7 @@
 	Log      log.Interface
 	Listener net.Listener
 	// PeerSource is the view's source fed by entries; nil where the store is read directly.
-	PeerSource *told.Source
+	PeerSource *peersource.Source
 }
 
 // Box brings the server on its machine to the version that should run.
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/machine"
-	"github.com/coralstair/coralstair/told"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -91,7 +91,7 @@
 	}
 	cfg := Config{Machine: m, View: v, Engine: s.engines[i], Origin: s.origin, Log: logger, Listener: listener}
 	if s.relayed {
-		cfg.PeerSource = told.New(source)
+		cfg.PeerSource = peersource.New(source)
 	}
 	b := New(cfg)
 	go func() { _ = v.ServeDeclared(ctx) }()
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -13,10 +13,10 @@
 	"github.com/coralstair/coralstair/admission"
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/machine"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/retry"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -39,7 +39,7 @@
 	// Links accepts links of other entries that receive the server list from this one; PeerSource is the list source if one entry of a
 	// site relays the list to the others. Both are nil if each entry reads the list itself.
 	Links      net.Listener
-	PeerSource *told.EntrySource
+	PeerSource *peersource.EntrySource
 	// Quarantine records requests under which servers exited; if nil, the entry creates one for itself.
 	Quarantine *quarantine.Quarantine
 }
--- a/forward/listpublisher_test.go
+++ b/forward/listpublisher_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/told"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -23,7 +23,7 @@
 	list := make(map[string]view.ListedServer)
 	type listener struct {
 		listFollower
-		source *told.Source
+		source *peersource.Source
 	}
 	var listeners []*listener
 	for round := range 300 {
@@ -39,7 +39,7 @@
 			}
 		}
 		if rng.IntN(20) == 0 {
-			listeners = append(listeners, &listener{source: told.New(nil)})
+			listeners = append(listeners, &listener{source: peersource.New(nil)})
 		}
 		var servers []view.ListedServer
 		for _, server := range list {
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -13,9 +13,9 @@
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/link"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -303,4 +303,4 @@
 	return listed
 }
 
-var _ view.Source = (*told.EntrySource)(nil)
+var _ view.Source = (*peersource.EntrySource)(nil)
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/coralstair/coralstair/contract"
 	"github.com/coralstair/coralstair/machine"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -100,7 +100,7 @@
 	store := &countingStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
 	store.setServers("1", "2")
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
-	source := told.NewEntrySource(view.Hedge(store), ListWait(m.Bounds.Drain))
+	source := peersource.NewEntrySource(view.Hedge(store), ListWait(m.Bounds.Drain))
 	v := view.New(source, view.Options{Log: logger})
 	links, err := net.Listen("tcp", m.LinkAddress(host))
 	if err != nil {
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -11,9 +11,9 @@
 
 	"github.com/coralstair/coralstair/forward"
 	"github.com/coralstair/coralstair/machine"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/platform"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -68,10 +68,10 @@
 	}
 	store := view.Hedge(platformStore)
 	if !r.fedByEntries {
-		source := told.NewEntrySource(store, forward.ListWait(m.Bounds.Drain))
+		source := peersource.NewEntrySource(store, forward.ListWait(m.Bounds.Drain))
 		return view.New(source, opts), sources{entry: source}
 	}
-	source := told.New(store)
+	source := peersource.New(store)
 	opts.FullReadOnChange, opts.CoalesceDelay, opts.ServersCoalesceDelay = true, peerCoalesceDelay, peerCoalesceDelay
 	return view.New(source, opts), sources{box: source}
 }
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -10,10 +10,10 @@
 	"github.com/coralstair/coralstair/fill"
 	"github.com/coralstair/coralstair/forward"
 	"github.com/coralstair/coralstair/machine"
+	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/platform"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/told"
 	"github.com/coralstair/coralstair/view"
 )
 
@@ -41,8 +41,8 @@
 // sources are the data sources of a daemon. Its view reads box or entry; the other is nil.
 type sources struct {
 	store *platform.Store
-	box   *told.Source
-	entry *told.EntrySource
+	box   *peersource.Source
+	entry *peersource.EntrySource
 }
 
 var (
--- a/told/source.go
+++ b/peersource/source.go
@@ -1,4 +1,4 @@
-package told
+package peersource
 
 import (
 	"context"
--- a/told/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package told provides a view source that is fed by an entry and falls back to
-// the platform's store, so that not every daemon has to read the store.
-package told
