--- a/view/doc.go
+++ b/discovery/doc.go
@@ -1,4 +1,5 @@
-// Package view keeps a daemon's copy of the configuration, the target versions
+// Package discovery keeps a daemon's copy of the configuration, the target versions
 // of models and the list of servers. It follows the feeds of the platform's store,
 // keeps the last known state during an outage, and never applies an older configuration.
-package view
+// Its log messages begin with "view:", which operators' tools match.
+package discovery
--- a/view/hedge_test.go
+++ b/discovery/hedge_test.go
@@ -1,4 +1,4 @@
-package view
+package discovery
 
 import (
 	"context"
--- a/fill/box.go
+++ b/fill/box.go
@@ -13,11 +13,11 @@
 	"github.com/coralstair/coralstair/bandwidth"
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/supervise"
 	"github.com/coralstair/coralstair/swarm"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -32,7 +32,7 @@
 // Config holds a box's settings and the services that it uses.
 type Config struct {
 	Machine  machine.Machine
-	View     *view.View
+	View     *discovery.View
 	Engine   Engine
 	Origin   Origin
 	Log      log.Interface
--- a/fill/closing_test.go
+++ b/fill/closing_test.go
@@ -8,14 +8,14 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 // TestClosingIsToldBeforeTheOrder checks that entries get the full notice before the load order, also when its turn has passed:
 // with less, the server refuses requests that entries have just sent.
 func TestClosingIsToldBeforeTheOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New(Config{View: view.New(&fakeSource{}, view.Options{})})
+		b := New(Config{View: discovery.New(&fakeSource{}, discovery.Options{})})
 		began := time.Now()
 		for !b.startDraining() {
 			time.Sleep(pollInterval)
@@ -53,7 +53,7 @@
 	past := time.Now().Add(-time.Second)
 	newBox := func() *Box {
 		b := New(Config{
-			View: view.New(&fakeSource{}, view.Options{}), Engine: engine, Log: &log.Logger{Handler: discard.Default},
+			View: discovery.New(&fakeSource{}, discovery.Options{}), Engine: engine, Log: &log.Logger{Handler: discard.Default},
 		})
 		b.draining, b.loadAt = true, past
 		return b
--- a/fill/fixture_test.go
+++ b/fill/fixture_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 const (
@@ -173,27 +173,27 @@
 
 // fakeSource returns a fixed list of servers and the versions sent on named.
 type fakeSource struct {
-	declared view.Declared
-	servers  view.Servers
+	declared discovery.Declared
+	servers  discovery.Servers
 	named    chan contract.Target
 }
 
-func (s *fakeSource) Declared(context.Context) (view.Declared, error) { return s.declared, nil }
+func (s *fakeSource) Declared(context.Context) (discovery.Declared, error) { return s.declared, nil }
 
-func (s *fakeSource) DeclaredAfter(ctx context.Context, _ view.Cursor, _ time.Duration) (view.Declared, error) {
+func (s *fakeSource) DeclaredAfter(ctx context.Context, _ discovery.Cursor, _ time.Duration) (discovery.Declared, error) {
 	select {
 	case target := <-s.named:
-		return view.Declared{Targets: []contract.Target{target}}, nil
+		return discovery.Declared{Targets: []contract.Target{target}}, nil
 	case <-ctx.Done():
-		return view.Declared{}, ctx.Err()
+		return discovery.Declared{}, ctx.Err()
 	}
 }
 
-func (s *fakeSource) Servers(context.Context) (view.Servers, error) { return s.servers, nil }
+func (s *fakeSource) Servers(context.Context) (discovery.Servers, error) { return s.servers, nil }
 
-func (s *fakeSource) ServersAfter(ctx context.Context, _ view.Cursor, _ time.Duration) (view.Servers, error) {
+func (s *fakeSource) ServersAfter(ctx context.Context, _ discovery.Cursor, _ time.Duration) (discovery.Servers, error) {
 	<-ctx.Done()
-	return view.Servers{}, ctx.Err()
+	return discovery.Servers{}, ctx.Err()
 }
 
 // loadVersion makes the server hold and run a version.
--- a/fill/pushback_test.go
+++ b/fill/pushback_test.go
@@ -8,16 +8,16 @@
 	"github.com/apex/log"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/pushback"
-	"github.com/coralstair/coralstair/view"
 )
 
 // TestReportsCarryPushback checks that reports carry the server's pushback, and that a change is reported at once.
 func TestReportsCarryPushback(t *testing.T) {
-	source := &fakeSource{servers: view.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.2:1"}}}}
-	v := view.New(source, view.Options{})
+	source := &fakeSource{servers: discovery.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.2:1"}}}}
+	v := discovery.New(source, discovery.Options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = v.ServeServers(ctx) }()
--- a/fill/restart_test.go
+++ b/fill/restart_test.go
@@ -8,9 +8,9 @@
 	"github.com/apex/log"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/machine"
-	"github.com/coralstair/coralstair/view"
 )
 
 // restart makes the server start again with nothing loaded; if wiped, it holds no pieces either.
@@ -69,8 +69,8 @@
 	if !urgent(newer, older) {
 		t.Error("a new incarnation is not reported at once")
 	}
-	source := &fakeSource{servers: view.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.1:1"}}}}
-	v := view.New(source, view.Options{})
+	source := &fakeSource{servers: discovery.Servers{Present: []contract.Server{{ID: "a", Address: "127.0.7.1:1"}}}}
+	v := discovery.New(source, discovery.Options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = v.ServeServers(ctx) }()
--- a/fill/siblings_test.go
+++ b/fill/siblings_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
-	"github.com/coralstair/coralstair/view"
 )
 
 // TestBoxesOfLeavingServersTakeNoPart checks that no piece is assigned to the box of a leaving server.
@@ -14,7 +14,7 @@
 	s.servers.Present[1].Leaving = true
 	s.servers.Present[2].Service = "other"
 	source := &fakeSource{servers: s.servers}
-	v := view.New(source, view.Options{})
+	v := discovery.New(source, discovery.Options{})
 	go func() { _ = v.ServeServers(t.Context()) }()
 	for len(v.Servers()) == 0 {
 		time.Sleep(time.Millisecond)
--- a/fill/sitefixture_test.go
+++ b/fill/sitefixture_test.go
@@ -12,9 +12,9 @@
 	"github.com/apex/log/handlers/discard"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/peersource"
-	"github.com/coralstair/coralstair/view"
 )
 
 // site is a set of boxes, each on its own loopback address.
@@ -25,7 +25,7 @@
 	engines []*fakeEngine
 	sources []*fakeSource
 	config  *contract.Config
-	servers view.Servers
+	servers discovery.Servers
 	bound   time.Duration
 	// relayed makes boxes take the store's content from entries.
 	relayed bool
@@ -75,12 +75,12 @@
 	s.t.Cleanup(cancel)
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
 	source := s.sources[i]
-	source.declared = view.Declared{Config: s.config}
+	source.declared = discovery.Declared{Config: s.config}
 	if target != 0 {
 		source.declared.Targets = []contract.Target{{Model: testModel, Version: target}}
 	}
 	source.servers = s.servers
-	v := view.New(source, view.Options{Log: logger, VersionBound: s.bound})
+	v := discovery.New(source, discovery.Options{Log: logger, VersionBound: s.bound})
 	m := machine.Machine{
 		ID: fmt.Sprint("box", i), Address: s.host(i), Site: fmt.Sprint("site", i%2), Service: "s",
 		UpstreamAddress: s.host(i) + ":1", LinkPort: s.port, LinkRate: 1e8,
--- a/forward/boxlinks.go
+++ b/forward/boxlinks.go
@@ -12,8 +12,8 @@
 
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -38,7 +38,7 @@
 	weights     map[string]float64
 	entryCounts map[string]entryCount
 	links       map[string]*boxLink
-	sentTargets []view.ObservedTarget
+	sentTargets []discovery.ObservedTarget
 	// followers are the boxes that receive configuration and the server list, listFollowers the entries of the site that receive the
 	// server list.
 	followers     map[*link.Conn]*follower
@@ -250,7 +250,7 @@
 }
 
 // sendTarget sends a target version. It is dropped if the link is full: the box receives it from other entries too.
-func sendTarget(conn *link.Conn, target view.ObservedTarget) {
+func sendTarget(conn *link.Conn, target discovery.ObservedTarget) {
 	_ = trySend(conn, &link.Target{Model: target.Model, Version: int64(target.Version), Age: clock.Since(target.At)})
 }
 
--- a/forward/denied_test.go
+++ b/forward/denied_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // TestServerThatDeniesIsLeftUntilThereIsNews checks that a server that responded with 421 gets no request until the
@@ -37,7 +37,7 @@
 	listed := contract.Server{
 		ID: serverName(0), Service: "s", Address: misdirects.address, Slots: 9, Loaded: map[string]contract.Version{testModel: 2},
 	}
-	w.entry.upstreams.update([]view.ListedServer{{Server: listed}})
+	w.entry.upstreams.update([]discovery.ListedServer{{Server: listed}})
 	ask()
 	if n := misdirects.arrivals(); n != 3 {
 		t.Errorf("%d requests sent, want one more once its list entry changes", n)
--- a/forward/enginefixture_test.go
+++ b/forward/enginefixture_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -38,7 +38,7 @@
 		routes[i].Split = []contract.Share{{Service: "s", Weight: 1}}
 	}
 	cfg := contract.NewConfig(1, contract.Limits{}, routes, []contract.Service{service}, nil)
-	source := fixedSource{declared: view.Declared{Config: cfg}}
+	source := fixedSource{declared: discovery.Declared{Config: cfg}}
 	for i, address := range addresses {
 		source.servers.Present = append(source.servers.Present, contract.Server{
 			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -12,12 +12,12 @@
 
 	"github.com/coralstair/coralstair/admission"
 	"github.com/coralstair/coralstair/clock"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/retry"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -30,7 +30,7 @@
 // Config holds the settings and dependencies of an entry.
 type Config struct {
 	Machine machine.Machine
-	View    *view.View
+	View    *discovery.View
 	Wire    Wire
 	Log     log.Interface
 	// Callers and Ready accept the connections of callers and of the balancer's readiness checks.
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -18,8 +18,8 @@
 	"github.com/apex/log/handlers/discard"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
-	"github.com/coralstair/coralstair/view"
 )
 
 // testWire implements Wire with short header names.
@@ -77,22 +77,22 @@
 
 // fixedSource returns one state and never changes.
 type fixedSource struct {
-	declared view.Declared
-	servers  view.Servers
+	declared discovery.Declared
+	servers  discovery.Servers
 }
 
-func (s fixedSource) Declared(context.Context) (view.Declared, error) { return s.declared, nil }
+func (s fixedSource) Declared(context.Context) (discovery.Declared, error) { return s.declared, nil }
 
-func (s fixedSource) DeclaredAfter(ctx context.Context, _ view.Cursor, _ time.Duration) (view.Declared, error) {
+func (s fixedSource) DeclaredAfter(ctx context.Context, _ discovery.Cursor, _ time.Duration) (discovery.Declared, error) {
 	<-ctx.Done()
-	return view.Declared{}, ctx.Err()
+	return discovery.Declared{}, ctx.Err()
 }
 
-func (s fixedSource) Servers(context.Context) (view.Servers, error) { return s.servers, nil }
+func (s fixedSource) Servers(context.Context) (discovery.Servers, error) { return s.servers, nil }
 
-func (s fixedSource) ServersAfter(ctx context.Context, _ view.Cursor, _ time.Duration) (view.Servers, error) {
+func (s fixedSource) ServersAfter(ctx context.Context, _ discovery.Cursor, _ time.Duration) (discovery.Servers, error) {
 	<-ctx.Done()
-	return view.Servers{}, ctx.Err()
+	return discovery.Servers{}, ctx.Err()
 }
 
 // testEnv is an entry in front of test servers.
@@ -129,7 +129,7 @@
 	}
 	limits := contract.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20}
 	cfg := contract.NewConfig(1, limits, routes, []contract.Service{{Name: "s", MaxConns: 100}}, teams)
-	source := fixedSource{declared: view.Declared{Config: cfg}}
+	source := fixedSource{declared: discovery.Declared{Config: cfg}}
 	for i, address := range addresses {
 		source.servers.Present = append(source.servers.Present, contract.Server{
 			ID: serverName(i), Service: "s", Address: address, Slots: 4,
@@ -138,10 +138,10 @@
 	return newTestEnvFrom(t, source)
 }
 
-func newTestEnvFrom(t *testing.T, source view.Source) *testEnv {
+func newTestEnvFrom(t *testing.T, source discovery.Source) *testEnv {
 	t.Helper()
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
-	v := view.New(source, view.Options{Log: logger})
+	v := discovery.New(source, discovery.Options{Log: logger})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() { _ = v.ServeDeclared(ctx) }()
 	go func() { _ = v.ServeServers(ctx) }()
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -4,8 +4,8 @@
 	"reflect"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // follower is a box that receives the parts of the configuration and the server list that it needs.
@@ -52,7 +52,7 @@
 }
 
 // listedByService returns the servers that are listed now, by service and ID.
-func listedByService(servers []view.ListedServer) map[string]map[string]contract.Server {
+func listedByService(servers []discovery.ListedServer) map[string]map[string]contract.Server {
 	listed := make(map[string]map[string]contract.Server)
 	for _, server := range servers {
 		if !server.MissingSince.IsZero() {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 // truncated sends an incomplete body and resets the connection.
@@ -131,7 +131,7 @@
 }
 
 func TestWithoutConfigurationNothingIsDenied(t *testing.T) {
-	w := newTestEnvFrom(t, fixedSource{servers: view.Servers{}})
+	w := newTestEnvFrom(t, fixedSource{servers: discovery.Servers{}})
 	got := w.ask("GET", "/safe/a", "", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("answer %d, Retry-After %q, want 503 with Retry-After", got.status, got.header.Get("Retry-After"))
--- a/forward/gone_test.go
+++ b/forward/gone_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 // TestGoneServerGetsNoSecondSend checks that an unlisted server gets no request after its grace period, not even a
@@ -19,7 +19,7 @@
 		return contract.Server{ID: serverName(i), Service: "s", Address: address, Slots: 4}
 	}
 	list := func(until time.Time) {
-		w.entry.upstreams.update([]view.ListedServer{
+		w.entry.upstreams.update([]discovery.ListedServer{
 			{Server: server(0, fails.address)},
 			{Server: server(1, unlisted.address), MissingSince: time.Now().Add(-time.Second), GoneAt: until},
 		})
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // listedServer returns the list entry of the test's server with a start time and the version that it runs.
-func listedServer(born int64, version contract.Version) view.ListedServer {
-	return view.ListedServer{Server: contract.Server{
+func listedServer(born int64, version contract.Version) discovery.ListedServer {
+	return discovery.ListedServer{Server: contract.Server{
 		ID: serverName(0), Service: "s", Address: "h:1", Slots: 8, Born: born, Loaded: map[string]contract.Version{testModel: version},
 	}}
 }
@@ -27,7 +27,7 @@
 func TestLives(t *testing.T) {
 	type message func(us *upstreams, now time.Time)
 	lists := func(born int64, version contract.Version) message {
-		return func(us *upstreams, _ time.Time) { us.update([]view.ListedServer{listedServer(born, version)}) }
+		return func(us *upstreams, _ time.Time) { us.update([]discovery.ListedServer{listedServer(born, version)}) }
 	}
 	reports := func(born, version int64) message {
 		return func(us *upstreams, now time.Time) { us.applyReport(boxReport(born, version), now) }
@@ -97,7 +97,7 @@
 			both := firstThen(hangs, streamEvents("b", 6, writeLastChunk))
 			one, two := newFakeServer(t, both), newFakeServer(t, both)
 			w := newModelTestEnv(t, one.address, two.address)
-			w.entry.upstreams.update([]view.ListedServer{w.listedBorn(0, 10), w.listedBorn(1, 10)})
+			w.entry.upstreams.update([]discovery.ListedServer{w.listedBorn(0, 10), w.listedBorn(1, 10)})
 			time.AfterFunc(restartAfter, func() {
 				for i, server := range []*fakeServer{one, two} {
 					if server.arrivals() > 0 {
@@ -119,7 +119,7 @@
 }
 
 // listedBorn returns a server's list entry with a start time.
-func (w *testEnv) listedBorn(i int, born int64) view.ListedServer {
+func (w *testEnv) listedBorn(i int, born int64) discovery.ListedServer {
 	for _, server := range w.entry.cfg.View.Servers() {
 		if server.ID == serverName(i) {
 			server.Born = born
@@ -127,5 +127,5 @@
 		}
 	}
 	w.t.Fatalf("server %d is not listed", i)
-	return view.ListedServer{}
+	return discovery.ListedServer{}
 }
--- a/forward/leavefixture_test.go
+++ b/forward/leavefixture_test.go
@@ -15,7 +15,7 @@
 	"github.com/apex/log"
 
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 // lengthWire is testWire with the answer's token limit.
@@ -48,7 +48,7 @@
 	}
 	limits := contract.Limits{HeaderBytes: 4096, BodyBytes: 1 << 20, IdleTime: idle}
 	cfg := contract.NewConfig(1, limits, routes, []contract.Service{service}, nil)
-	source := fixedSource{declared: view.Declared{Config: cfg}}
+	source := fixedSource{declared: discovery.Declared{Config: cfg}}
 	for i, address := range addresses {
 		source.servers.Present = append(source.servers.Present, contract.Server{
 			ID: serverName(i), Service: "s", Address: address, Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
--- a/forward/listpublisher.go
+++ b/forward/listpublisher.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // listPublisher computes and encodes list changes for all entries that follow this one. It does so once for all of them, since
@@ -31,7 +31,7 @@
 var listHeartbeatMessage = encodeMessage(&link.Servers{})
 
 // update publishes the list if it has changed.
-func (lp *listPublisher) update(servers []view.ListedServer) {
+func (lp *listPublisher) update(servers []discovery.ListedServer) {
 	if lp.listed == nil {
 		lp.listed = make(map[string]contract.Server, len(servers))
 	}
@@ -58,7 +58,7 @@
 }
 
 // removeUnlisted removes the servers that are no longer listed and returns their IDs.
-func (lp *listPublisher) removeUnlisted(servers []view.ListedServer) (gone []string) {
+func (lp *listPublisher) removeUnlisted(servers []discovery.ListedServer) (gone []string) {
 	listed := listedByID(servers)
 	for id := range lp.listed {
 		if _, stays := listed[id]; !stays {
--- a/forward/listpublisher_test.go
+++ b/forward/listpublisher_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/peersource"
-	"github.com/coralstair/coralstair/view"
 )
 
 // TestFollowersOfTheListHaveItWhole applies random changes with followers joining at any time, and checks that each follower has the
@@ -20,7 +20,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
 	var lp listPublisher
-	list := make(map[string]view.ListedServer)
+	list := make(map[string]discovery.ListedServer)
 	type listener struct {
 		listFollower
 		source *peersource.Source
@@ -33,15 +33,15 @@
 			case 0:
 				delete(list, id)
 			case 1:
-				list[id] = view.ListedServer{Server: contract.Server{ID: id}, MissingSince: now}
+				list[id] = discovery.ListedServer{Server: contract.Server{ID: id}, MissingSince: now}
 			default:
-				list[id] = view.ListedServer{Server: contract.Server{ID: id, Slots: rng.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(rng.IntN(2))}}}
+				list[id] = discovery.ListedServer{Server: contract.Server{ID: id, Slots: rng.IntN(3), Loaded: map[string]contract.Version{"m": contract.Version(rng.IntN(2))}}}
 			}
 		}
 		if rng.IntN(20) == 0 {
 			listeners = append(listeners, &listener{source: peersource.New(nil)})
 		}
-		var servers []view.ListedServer
+		var servers []discovery.ListedServer
 		for _, server := range list {
 			servers = append(servers, server)
 		}
--- a/forward/pushback_test.go
+++ b/forward/pushback_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/pushback"
-	"github.com/coralstair/coralstair/view"
 )
 
 // respondWithHeader responds to request r1 with an additional header.
@@ -185,11 +185,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			up := &upstream{}
-			up.applyListing(view.ListedServer{Server: contract.Server{ID: id}}, 1)
+			up.applyListing(discovery.ListedServer{Server: contract.Server{ID: id}}, 1)
 			up.applyPushback(pushback.Signal{Leaving: true}, time.Now(), time.Now(), 1)
 			up.applyPushback(pushback.Signal{}, time.Now(), time.Now(), 1)
 			for _, leaving := range rows {
-				up.applyListing(view.ListedServer{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
+				up.applyListing(discovery.ListedServer{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
 			}
 			if !up.isLeaving() {
 				t.Error("the server counts as staying")
@@ -201,8 +201,8 @@
 // TestARowThatLapsesTakesNothingBack checks that pushback outlives the server's list entry, unless another
 // incarnation takes its place.
 func TestARowThatLapsesTakesNothingBack(t *testing.T) {
-	listed := func(born int64) []view.ListedServer {
-		return []view.ListedServer{{Server: contract.Server{ID: serverName(0), Service: "s", Born: born}}}
+	listed := func(born int64) []discovery.ListedServer {
+		return []discovery.ListedServer{{Server: contract.Server{ID: serverName(0), Service: "s", Born: born}}}
 	}
 	for name, test := range map[string]struct {
 		again int64
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -12,11 +12,11 @@
 
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/view"
 )
 
 // In a large fleet one entry of each site, the reader, polls the store for the server list and relays it to the others, which bounds
@@ -293,7 +293,7 @@
 }
 
 // listedByID returns the servers that are listed now, by ID.
-func listedByID(servers []view.ListedServer) map[string]contract.Server {
+func listedByID(servers []discovery.ListedServer) map[string]contract.Server {
 	listed := make(map[string]contract.Server, len(servers))
 	for _, server := range servers {
 		if server.MissingSince.IsZero() {
@@ -303,4 +303,4 @@
 	return listed
 }
 
-var _ view.Source = (*peersource.EntrySource)(nil)
+var _ discovery.Source = (*peersource.EntrySource)(nil)
--- a/forward/reader_test.go
+++ b/forward/reader_test.go
@@ -12,30 +12,30 @@
 	"github.com/apex/log/handlers/discard"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/quarantine"
-	"github.com/coralstair/coralstair/view"
 )
 
 // countingStore is a store whose server list may change or whose calls may hang; it counts the list calls.
 type countingStore struct {
 	fixedSource
-	list  atomic.Pointer[view.Servers]
+	list  atomic.Pointer[discovery.Servers]
 	calls atomic.Int64
 	hangs atomic.Bool
 }
 
-func (s *countingStore) Servers(ctx context.Context) (view.Servers, error) {
+func (s *countingStore) Servers(ctx context.Context) (discovery.Servers, error) {
 	s.calls.Add(1)
 	if s.hangs.Load() {
 		<-ctx.Done()
-		return view.Servers{}, ctx.Err()
+		return discovery.Servers{}, ctx.Err()
 	}
 	return *s.list.Load(), nil
 }
 
-func (s *countingStore) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+func (s *countingStore) ServersAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Servers, error) {
 	s.calls.Add(1)
 	over := time.After(wait)
 	for {
@@ -44,10 +44,10 @@
 		}
 		select {
 		case <-ctx.Done():
-			return view.Servers{}, ctx.Err()
+			return discovery.Servers{}, ctx.Err()
 		case <-over:
 			if !s.hangs.Load() {
-				return view.Servers{Cursor: cursor}, nil
+				return discovery.Servers{Cursor: cursor}, nil
 			}
 		case <-time.After(5 * time.Millisecond):
 		}
@@ -56,7 +56,7 @@
 
 // setServers sets the list of servers.
 func (s *countingStore) setServers(ids ...string) {
-	list := &view.Servers{Cursor: view.Cursor{Position: int64(len(ids))}}
+	list := &discovery.Servers{Cursor: discovery.Cursor{Position: int64(len(ids))}}
 	for _, id := range ids {
 		list.Present = append(list.Present, contract.Server{ID: id, Service: "s", Address: "h:" + id, Slots: 1})
 	}
@@ -97,11 +97,11 @@
 func (env *siteEnv) startEntry(host string, port int) {
 	logger := &log.Logger{Handler: discard.Default, Level: log.InfoLevel}
 	cfg := contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{{Name: "s"}}, nil)
-	store := &countingStore{fixedSource: fixedSource{declared: view.Declared{Config: cfg}}}
+	store := &countingStore{fixedSource: fixedSource{declared: discovery.Declared{Config: cfg}}}
 	store.setServers("1", "2")
 	m := machine.Machine{ID: host, Address: host, Site: "z", LinkPort: port, Bounds: machine.Bounds{Drain: 2 * time.Second}}
-	source := peersource.NewEntrySource(view.Hedge(store), ListWait(m.Bounds.Drain))
-	v := view.New(source, view.Options{Log: logger})
+	source := peersource.NewEntrySource(discovery.Hedge(store), ListWait(m.Bounds.Drain))
+	v := discovery.New(source, discovery.Options{Log: logger})
 	links, err := net.Listen("tcp", m.LinkAddress(host))
 	if err != nil {
 		env.t.Fatal(err)
--- a/forward/size_test.go
+++ b/forward/size_test.go
@@ -9,24 +9,24 @@
 	"golang.org/x/sys/unix"
 
 	"github.com/coralstair/coralstair/contract"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 // newSizedEntry returns an entry and a list of n servers, three quarters of them model servers.
-func newSizedEntry(n int) (*Entry, []view.ListedServer) {
-	servers := make([]view.ListedServer, n)
+func newSizedEntry(n int) (*Entry, []discovery.ListedServer) {
+	servers := make([]discovery.ListedServer, n)
 	for i := range servers {
 		service := "s"
 		if i%4 == 3 {
 			service = "plain"
 		}
-		servers[i] = view.ListedServer{Server: contract.Server{
+		servers[i] = discovery.ListedServer{Server: contract.Server{
 			ID: serverName(i), Service: service, Address: fmt.Sprintf("10.%d.%d.%d:8000", i/65536, i/256%256, i%256), Site: "z",
 			Slots: 8, Loaded: map[string]contract.Version{testModel: 1},
 		}}
 	}
 	cfg := contract.NewConfig(1, contract.Limits{}, nil, []contract.Service{{Name: "s", Engine: &contract.Engine{}}, {Name: "plain"}}, nil)
-	v := view.New(fixedSource{declared: view.Declared{Config: cfg}}, view.Options{})
+	v := discovery.New(fixedSource{declared: discovery.Declared{Config: cfg}}, discovery.Options{})
 	e := New(Config{View: v})
 	e.budget.SetEntries(60)
 	e.startedAt = time.Now().Add(-time.Hour)
@@ -102,7 +102,7 @@
 // publishWork is an entry that publishes the list of servers.
 type publishWork struct {
 	entry     *Entry
-	servers   []view.ListedServer
+	servers   []discovery.ListedServer
 	publisher listPublisher
 	followers []*listFollower
 }
@@ -141,7 +141,7 @@
 }
 
 // publishChanges computes and encodes the messages due for each follower.
-func publishChanges(publisher *listPublisher, followers []*listFollower, servers []view.ListedServer) {
+func publishChanges(publisher *listPublisher, followers []*listFollower, servers []discovery.ListedServer) {
 	if len(followers) > 0 {
 		publisher.update(servers)
 	}
--- a/forward/subset.go
+++ b/forward/subset.go
@@ -6,8 +6,8 @@
 
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/subset"
-	"github.com/coralstair/coralstair/view"
 )
 
 // In a large fleet an entry links to a subset of the servers of a model service, which bounds the number of links at
@@ -26,7 +26,7 @@
 }
 
 // subsetWeights returns the weights of the servers in the entry's subset, by ID.
-func (e *Entry) subsetWeights(servers []view.ListedServer) map[string]float64 {
+func (e *Entry) subsetWeights(servers []discovery.ListedServer) map[string]float64 {
 	cfg := e.cfg.View.Config()
 	weights := make(map[string]float64, len(servers))
 	boxes, ids := make(map[string][]subset.Box), make(map[string][]string)
--- a/forward/subset_test.go
+++ b/forward/subset_test.go
@@ -6,18 +6,18 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // newSubsetEnv returns an entry and a list of servers spread over sites, each at a box of its own.
-func newSubsetEnv(t *testing.T, servers, sites int) (*testEnv, []view.ListedServer) {
+func newSubsetEnv(t *testing.T, servers, sites int) (*testEnv, []discovery.ListedServer) {
 	t.Helper()
 	w := newModelTestEnv(t, "10.0.0.1:1")
 	w.entry.cfg.Machine.Site = "site0"
-	var listed []view.ListedServer
+	var listed []discovery.ListedServer
 	for i := range servers {
-		listed = append(listed, view.ListedServer{Server: contract.Server{
+		listed = append(listed, discovery.ListedServer{Server: contract.Server{
 			ID: serverName(i), Service: "s", Address: fmt.Sprintf("10.0.%d.%d:1", i/200, i%200+1), Site: fmt.Sprint("site", i%sites), Slots: 8,
 			Loaded: map[string]contract.Version{testModel: 1},
 		}})
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -7,11 +7,11 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/engine"
 	"github.com/coralstair/coralstair/link"
 	"github.com/coralstair/coralstair/pushback"
 	"github.com/coralstair/coralstair/quarantine"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -179,7 +179,7 @@
 }
 
 // applyListing applies the server's entry in the list.
-func (u *upstream) applyListing(server view.ListedServer, weight float64) {
+func (u *upstream) applyListing(server discovery.ListedServer, weight float64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.weight = weight
--- a/forward/upstreams.go
+++ b/forward/upstreams.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"github.com/coralstair/coralstair/clock"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // upstreams holds all servers that this entry may call.
 type upstreams struct {
 	// subsetWeights returns the weights of the servers in the entry's subset by ID; nil puts all servers into the
 	// subset.
-	subsetWeights func(servers []view.ListedServer) map[string]float64
+	subsetWeights func(servers []discovery.ListedServer) map[string]float64
 	// limitSharers returns the number of entries that share a server's limit; nil means one.
 	limitSharers func() int
 
@@ -40,7 +40,7 @@
 }
 
 // update applies the list of servers; servers that are still listed keep their state.
-func (us *upstreams) update(servers []view.ListedServer) {
+func (us *upstreams) update(servers []discovery.ListedServer) {
 	var weights map[string]float64
 	if us.subsetWeights != nil {
 		weights = us.subsetWeights(servers)
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -9,12 +9,12 @@
 
 	"github.com/apex/log"
 
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/forward"
 	"github.com/coralstair/coralstair/machine"
 	"github.com/coralstair/coralstair/peersource"
 	"github.com/coralstair/coralstair/platform"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/view"
 )
 
 // peerCoalesceDelay is the longest delay before changes relayed by entries take effect.
@@ -61,17 +61,17 @@
 }
 
 // newView returns a daemon's view of configuration and servers, and the sources that it reads.
-func newView(r role, m machine.Machine, platformStore *platform.Store, logger log.Interface) (*view.View, sources) {
-	opts := view.Options{
-		Log: logger, DrainTimeout: m.Bounds.Drain, VersionBound: m.Bounds.Version, PollTimeout: view.PollTimeoutWithin(m.Bounds.Contact),
-		ServersCoalesceDelay: view.ServersCoalesceDelayWithin(m.Bounds.Drain),
+func newView(r role, m machine.Machine, platformStore *platform.Store, logger log.Interface) (*discovery.View, sources) {
+	opts := discovery.Options{
+		Log: logger, DrainTimeout: m.Bounds.Drain, VersionBound: m.Bounds.Version, PollTimeout: discovery.PollTimeoutWithin(m.Bounds.Contact),
+		ServersCoalesceDelay: discovery.ServersCoalesceDelayWithin(m.Bounds.Drain),
 	}
-	store := view.Hedge(platformStore)
+	store := discovery.Hedge(platformStore)
 	if !r.fedByEntries {
 		source := peersource.NewEntrySource(store, forward.ListWait(m.Bounds.Drain))
-		return view.New(source, opts), sources{entry: source}
+		return discovery.New(source, opts), sources{entry: source}
 	}
 	source := peersource.New(store)
 	opts.FullReadOnChange, opts.CoalesceDelay, opts.ServersCoalesceDelay = true, peerCoalesceDelay, peerCoalesceDelay
-	return view.New(source, opts), sources{box: source}
+	return discovery.New(source, opts), sources{box: source}
 }
--- a/internal/daemoncmd/operations_test.go
+++ b/internal/daemoncmd/operations_test.go
@@ -17,7 +17,7 @@
 	}
 	named := regexp.MustCompile(`"((?:view|fill|forward|entry|daemon|log|quarantine): [^"]+)"|(coralstair_[a-z_]+)`)
 	found := 0
-	for _, dir := range []string{"forward", "fill", "view", "quarantine", "retry", "logging", filepath.Join("internal", "daemoncmd")} {
+	for _, dir := range []string{"forward", "fill", "discovery", "quarantine", "retry", "logging", filepath.Join("internal", "daemoncmd")} {
 		paths, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -7,6 +7,7 @@
 
 	"github.com/apex/log"
 
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/fill"
 	"github.com/coralstair/coralstair/forward"
 	"github.com/coralstair/coralstair/machine"
@@ -14,7 +15,6 @@
 	"github.com/coralstair/coralstair/platform"
 	"github.com/coralstair/coralstair/quarantine"
 	"github.com/coralstair/coralstair/supervise"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -35,7 +35,7 @@
 	name string
 	// fedByEntries means that entries relay the store's content; the daemon reads the store only while none does.
 	fedByEntries bool
-	build        func(m machine.Machine, v *view.View, sources sources, logger log.Interface) (daemon, error)
+	build        func(m machine.Machine, v *discovery.View, sources sources, logger log.Interface) (daemon, error)
 }
 
 // sources are the data sources of a daemon. Its view reads box or entry; the other is nil.
@@ -50,7 +50,7 @@
 	boxRole   = role{name: "box", build: newBox, fedByEntries: true}
 )
 
-func newEntry(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
+func newEntry(m machine.Machine, v *discovery.View, src sources, logger log.Interface) (daemon, error) {
 	callers, err := net.Listen("tcp", m.CallerAddress)
 	if err != nil {
 		return nil, err
@@ -66,12 +66,12 @@
 	return forward.New(forward.Config{
 		Machine: m, View: v, Wire: platform.Wire{}, Log: logger, Callers: callers, Ready: ready, Links: links, PeerSource: src.entry,
 		Quarantine: quarantine.New(quarantine.Options{
-			Entry: m.ID, Store: src.store, Log: logger, Wait: view.PollTimeoutWithin(m.Bounds.Contact), PeerActive: src.entry.PeerActive,
+			Entry: m.ID, Store: src.store, Log: logger, Wait: discovery.PollTimeoutWithin(m.Bounds.Contact), PeerActive: src.entry.PeerActive,
 		}),
 	}), nil
 }
 
-func newBox(m machine.Machine, v *view.View, src sources, logger log.Interface) (daemon, error) {
+func newBox(m machine.Machine, v *discovery.View, src sources, logger log.Interface) (daemon, error) {
 	listener, err := net.Listen("tcp", m.LinkAddress(m.Address))
 	if err != nil {
 		return nil, err
--- a/peersource/doc.go
+++ b/peersource/doc.go
@@ -1,3 +1,3 @@
-// Package peersource provides a view source that is fed by an entry and falls back to
+// Package peersource provides a discovery source that is fed by an entry and falls back to
 // the platform's store, so that not every daemon has to read the store.
 package peersource
--- a/peersource/source.go
+++ b/peersource/source.go
@@ -11,8 +11,8 @@
 
 	"github.com/coralstair/coralstair/clock"
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 const (
@@ -35,15 +35,15 @@
 // partialReader is a store that can read a part of the list.
 type partialReader interface {
 	// SomeServers reads up to limit servers; the result is partial if more are listed.
-	SomeServers(ctx context.Context, limit int) (view.Servers, error)
+	SomeServers(ctx context.Context, limit int) (discovery.Servers, error)
 }
 
 // noCursor marks data from an entry's feed, which has no position in the store's history.
-var noCursor = view.Cursor{Position: -1}
+var noCursor = discovery.Cursor{Position: -1}
 
-// Source is a view source that uses an entry's feed, or the store while there is no feed.
+// Source is a discovery source that uses an entry's feed, or the store while there is no feed.
 type Source struct {
-	store view.Source
+	store discovery.Source
 	// entryTimeout is how long after the loss of the feed the store is first read.
 	entryTimeout         time.Duration
 	listReadInterval     time.Duration
@@ -70,7 +70,7 @@
 }
 
 // New returns a box's source, which reads the store at intervals when there has been no feed for a time.
-func New(store view.Source) *Source {
+func New(store discovery.Source) *Source {
 	return &Source{
 		store: store, entryTimeout: entryTimeout + rand.N(entryTimeoutJitter), listReadInterval: listReadInterval, declaredReadInterval: declaredReadInterval,
 		changed: make(chan struct{}), inactiveSince: clock.Now(), fullReadDelay: boxFullReadDelay + rand.N(boxFullReadDelay),
@@ -79,7 +79,7 @@
 
 // NewEntrySource returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only the list
 // of servers is relayed between entries; while it is shared, calls wait for maxWait at most, so that a stalled connection is noticed.
-func NewEntrySource(store view.Source, maxWait time.Duration) *EntrySource {
+func NewEntrySource(store discovery.Source, maxWait time.Duration) *EntrySource {
 	return &EntrySource{
 		Source: &Source{
 			store: store, changed: make(chan struct{}), inactiveSince: clock.Now(), fullReadDelay: entryFullReadDelay + rand.N(entryFullReadDelay),
@@ -116,17 +116,17 @@
 }
 
 // Declared reads all that is declared from the store.
-func (s *EntrySource) Declared(ctx context.Context) (view.Declared, error) {
+func (s *EntrySource) Declared(ctx context.Context) (discovery.Declared, error) {
 	return s.store.Declared(ctx)
 }
 
 // DeclaredAfter waits for a change of the declared configuration or targets at the store.
-func (s *EntrySource) DeclaredAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Declared, error) {
+func (s *EntrySource) DeclaredAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Declared, error) {
 	return s.store.DeclaredAfter(ctx, cursor, wait)
 }
 
 // ServersAfter waits for a change of the list of servers.
-func (s *EntrySource) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+func (s *EntrySource) ServersAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Servers, error) {
 	if s.shared.Load() {
 		wait = min(wait, s.maxWait)
 	}
@@ -134,18 +134,18 @@
 }
 
 var (
-	_ view.Source = (*Source)(nil)
-	_ view.Source = (*EntrySource)(nil)
+	_ discovery.Source = (*Source)(nil)
+	_ discovery.Source = (*EntrySource)(nil)
 )
 
 // Declared returns the declared state from the feed, or from the store if there is no feed in time.
-func (s *Source) Declared(ctx context.Context) (view.Declared, error) {
-	return s.DeclaredAfter(ctx, noCursor, view.DefaultPollTimeout)
+func (s *Source) Declared(ctx context.Context) (discovery.Declared, error) {
+	return s.DeclaredAfter(ctx, noCursor, discovery.DefaultPollTimeout)
 }
 
 // DeclaredAfter waits for a change of the declared state.
-func (s *Source) DeclaredAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Declared, error) {
-	declared := view.Declared{Cursor: noCursor}
+func (s *Source) DeclaredAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Declared, error) {
+	declared := discovery.Declared{Cursor: noCursor}
 	err := s.awaitChange(ctx, wait, &s.declaredReadAt, func() time.Duration { return s.declaredReadInterval }, func() bool {
 		if s.declared == nil || s.declared == s.deliveredDeclared {
 			return false
@@ -164,16 +164,16 @@
 }
 
 // Servers returns the listed servers.
-func (s *Source) Servers(ctx context.Context) (view.Servers, error) {
+func (s *Source) Servers(ctx context.Context) (discovery.Servers, error) {
 	s.mu.Lock()
 	s.delivered = nil
 	s.mu.Unlock()
-	return s.ServersAfter(ctx, noCursor, view.DefaultPollTimeout)
+	return s.ServersAfter(ctx, noCursor, discovery.DefaultPollTimeout)
 }
 
 // ServersAfter waits for a change of the list of servers.
-func (s *Source) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
-	servers := view.Servers{Cursor: noCursor}
+func (s *Source) ServersAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Servers, error) {
+	servers := discovery.Servers{Cursor: noCursor}
 	err := s.awaitChange(ctx, wait, &s.listReadAt, s.nextListInterval, func() bool {
 		if s.servers == nil {
 			return false
@@ -202,7 +202,7 @@
 }
 
 // recordDelivered records servers read from the store that are returned to the view.
-func (s *Source) recordDelivered(servers view.Servers) {
+func (s *Source) recordDelivered(servers discovery.Servers) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.delivered == nil {
@@ -217,7 +217,7 @@
 }
 
 // readServers reads changes from the store, or after a feed the full list, with the servers that are gone compared to the feed.
-func (s *Source) readServers(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+func (s *Source) readServers(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Servers, error) {
 	if cursor != noCursor {
 		return s.store.ServersAfter(ctx, cursor, wait)
 	}
@@ -240,7 +240,7 @@
 }
 
 // readList reads the list from the store, only a part of it the first time.
-func (s *Source) readList(ctx context.Context) (servers view.Servers, err error) {
+func (s *Source) readList(ctx context.Context) (servers discovery.Servers, err error) {
 	s.mu.Lock()
 	full := s.serversKnown || s.fullReadRequested
 	s.mu.Unlock()
@@ -259,9 +259,9 @@
 }
 
 // diffServers returns the changes from an old list to a new one.
-func diffServers(old, list map[string]contract.Server) view.Servers {
+func diffServers(old, list map[string]contract.Server) discovery.Servers {
 	present, gone := contract.DiffServers(old, list)
-	return view.Servers{Present: present, Removed: gone, Cursor: noCursor}
+	return discovery.Servers{Present: present, Removed: gone, Cursor: noCursor}
 }
 
 // awaitChange returns as soon as deliver finds a change in the feed, or after wait without one. While there is no feed it reads the
--- a/peersource/source_test.go
+++ b/peersource/source_test.go
@@ -8,39 +8,39 @@
 	"time"
 
 	"github.com/coralstair/coralstair/contract"
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/link"
-	"github.com/coralstair/coralstair/view"
 )
 
 // countingStore is a store with a fixed list of servers that counts calls.
 type countingStore struct {
-	servers   view.Servers
+	servers   discovery.Servers
 	reads     int
 	waits     int
 	cancelled int
 }
 
-func (s *countingStore) Declared(context.Context) (view.Declared, error) {
-	return view.Declared{}, nil
+func (s *countingStore) Declared(context.Context) (discovery.Declared, error) {
+	return discovery.Declared{}, nil
 }
 
-func (s *countingStore) DeclaredAfter(context.Context, view.Cursor, time.Duration) (view.Declared, error) {
-	return view.Declared{}, nil
+func (s *countingStore) DeclaredAfter(context.Context, discovery.Cursor, time.Duration) (discovery.Declared, error) {
+	return discovery.Declared{}, nil
 }
 
-func (s *countingStore) Servers(context.Context) (view.Servers, error) {
+func (s *countingStore) Servers(context.Context) (discovery.Servers, error) {
 	s.reads++
 	return s.servers, nil
 }
 
-func (s *countingStore) ServersAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (view.Servers, error) {
+func (s *countingStore) ServersAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (discovery.Servers, error) {
 	s.waits++
 	select {
 	case <-ctx.Done():
 		s.cancelled++
-		return view.Servers{}, ctx.Err()
+		return discovery.Servers{}, ctx.Err()
 	case <-time.After(wait):
-		return view.Servers{Cursor: cursor}, nil
+		return discovery.Servers{Cursor: cursor}, nil
 	}
 }
 
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &countingStore{servers: view.Servers{Present: serversWithIDs("a"), Cursor: view.Cursor{Position: 7}}}
+				store := &countingStore{servers: discovery.Servers{Present: serversWithIDs("a"), Cursor: discovery.Cursor{Position: 7}}}
 				test(t, store, New(store))
 			})
 		})
@@ -156,7 +156,7 @@
 	source *EntrySource
 }
 
-func (s *feedingStore) Servers(ctx context.Context) (view.Servers, error) {
+func (s *feedingStore) Servers(ctx context.Context) (discovery.Servers, error) {
 	s.source.ApplyServers(&link.Servers{Reset: true, Present: s.servers.Present})
 	return s.countingStore.Servers(ctx)
 }
@@ -165,7 +165,7 @@
 // the next change would be mistaken for the full list.
 func TestTellingBeginsBesideARead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &feedingStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 1}}}}
+		store := &feedingStore{countingStore: countingStore{servers: discovery.Servers{Present: serversWithIDs("a", "b"), Cursor: discovery.Cursor{Position: 1}}}}
 		store.source = NewEntrySource(store, time.Second)
 		time.AfterFunc(500*time.Millisecond, func() { store.source.ApplyServers(&link.Servers{Present: serversWithIDs("c")}) })
 		whole, err := store.source.Servers(t.Context())
@@ -191,7 +191,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				source := NewEntrySource(&countingStore{servers: view.Servers{Present: serversWithIDs("a")}}, time.Second)
+				source := NewEntrySource(&countingStore{servers: discovery.Servers{Present: serversWithIDs("a")}}, time.Second)
 				source.SetShared(test.shared)
 				whole, err := source.Servers(t.Context())
 				if err != nil {
@@ -215,9 +215,9 @@
 	partialReads int
 }
 
-func (s *longStore) SomeServers(_ context.Context, limit int) (view.Servers, error) {
+func (s *longStore) SomeServers(_ context.Context, limit int) (discovery.Servers, error) {
 	s.partialReads++
-	return view.Servers{Present: serversWithIDs("a"), Partial: limit < 3000, Cursor: view.Cursor{Position: 1}}, nil
+	return discovery.Servers{Present: serversWithIDs("a"), Partial: limit < 3000, Cursor: discovery.Cursor{Position: 1}}, nil
 }
 
 // TestALongListIsReadByOne checks that a starting daemon reads a part of a long list at once, and all of it only if no entry sends it.
@@ -236,7 +236,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &longStore{countingStore: countingStore{servers: view.Servers{Present: serversWithIDs("a", "b"), Cursor: view.Cursor{Position: 2}}}}
+				store := &longStore{countingStore: countingStore{servers: discovery.Servers{Present: serversWithIDs("a", "b"), Cursor: discovery.Cursor{Position: 2}}}}
 				source := NewEntrySource(store, time.Second)
 				began := time.Now()
 				first, err := source.Servers(t.Context())
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log"
 
 	"github.com/coralstair/coralstair/clock"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 const (
@@ -55,7 +55,7 @@
 	if opts.Log == nil {
 		opts.Log = log.Log
 	}
-	opts.Wait = cmp.Or(opts.Wait, view.DefaultPollTimeout)
+	opts.Wait = cmp.Or(opts.Wait, discovery.DefaultPollTimeout)
 	return &Quarantine{
 		opts: opts, retention: Retention + rand.N(retentionJitter), writeRequested: make(chan struct{}, 1), pending: make(map[string]bool),
 		missing: make(map[string]bool),
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -13,8 +13,8 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
+	"github.com/coralstair/coralstair/discovery"
 	"github.com/coralstair/coralstair/store"
-	"github.com/coralstair/coralstair/view"
 )
 
 // sharedStore is an in-memory Store with injectable faults: outages, truncated history, lost responses and slow writes.
@@ -45,40 +45,40 @@
 	return &sharedStore{exits: make(map[string]Exit), responses: make(map[string]Response), changed: make(chan struct{})}
 }
 
-func (s *sharedStore) Records(context.Context) (Records, view.Cursor, error) {
+func (s *sharedStore) Records(context.Context) (Records, discovery.Cursor, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unavailable {
-		return Records{}, view.Cursor{}, errUnavailable
+		return Records{}, discovery.Cursor{}, errUnavailable
 	}
-	return Records{Exits: slices.Collect(maps.Values(s.exits)), Responses: slices.Collect(maps.Values(s.responses))}, view.Cursor{Epoch: s.epoch, Position: s.cursor}, nil
+	return Records{Exits: slices.Collect(maps.Values(s.exits)), Responses: slices.Collect(maps.Values(s.responses))}, discovery.Cursor{Epoch: s.epoch, Position: s.cursor}, nil
 }
 
-func (s *sharedStore) RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
+func (s *sharedStore) RecordsAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (Records, discovery.Cursor, error) {
 	s.mu.Lock()
 	hangs := s.hangingReads > 0
 	s.hangingReads--
 	s.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
-		return Records{}, view.Cursor{}, ctx.Err()
+		return Records{}, discovery.Cursor{}, ctx.Err()
 	}
 	for deadline := time.After(wait); ; {
 		s.mu.Lock()
-		records, at, unavailable, changed := s.changesAfter(cursor.Position), view.Cursor{Epoch: s.epoch, Position: s.cursor}, s.unavailable, s.changed
+		records, at, unavailable, changed := s.changesAfter(cursor.Position), discovery.Cursor{Epoch: s.epoch, Position: s.cursor}, s.unavailable, s.changed
 		gone := cursor.Position < s.oldestPosition || cursor.Epoch != s.epoch
 		s.mu.Unlock()
 		switch {
 		case unavailable:
-			return Records{}, view.Cursor{}, errUnavailable
+			return Records{}, discovery.Cursor{}, errUnavailable
 		case gone:
-			return Records{}, view.Cursor{}, &view.HistoryGoneError{}
+			return Records{}, discovery.Cursor{}, &discovery.HistoryGoneError{}
 		case records.Len() > 0:
 			return records, at, nil
 		}
 		select {
 		case <-ctx.Done():
-			return Records{}, view.Cursor{}, ctx.Err()
+			return Records{}, discovery.Cursor{}, ctx.Err()
 		case <-changed:
 		case <-deadline:
 			return Records{}, at, nil
--- a/quarantine/sync.go
+++ b/quarantine/sync.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/coralstair/coralstair/clock"
-	"github.com/coralstair/coralstair/view"
+	"github.com/coralstair/coralstair/discovery"
 )
 
 const (
@@ -26,8 +26,8 @@
 // Store shares the records of all entries.
 type Store interface {
 	// Records returns all records. RecordsAfter is a long poll that returns the changes after cursor, none if wait passes.
-	Records(ctx context.Context) (Records, view.Cursor, error)
-	RecordsAfter(ctx context.Context, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error)
+	Records(ctx context.Context) (Records, discovery.Cursor, error)
+	RecordsAfter(ctx context.Context, cursor discovery.Cursor, wait time.Duration) (Records, discovery.Cursor, error)
 	// WriteRecords stores records and removes those in Removed. It is idempotent.
 	WriteRecords(ctx context.Context, records Records) error
 }
@@ -38,7 +38,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	cursor, known, pause, wait := view.Cursor{}, false, minBackoff, q.opts.Wait
+	cursor, known, pause, wait := discovery.Cursor{}, false, minBackoff, q.opts.Wait
 	for ctx.Err() == nil {
 		if q.opts.PeerActive != nil && q.opts.PeerActive() {
 			known = false
@@ -49,13 +49,13 @@
 		if err != nil {
 			// Do not long-poll an unreachable store: the call may hang long after the store has recovered.
 			wait = 0
-			known = known && !errors.As(err, new(*view.HistoryGoneError))
+			known = known && !errors.As(err, new(*discovery.HistoryGoneError))
 			sleep(ctx, pause/2+rand.N(pause))
 			pause = min(2*pause, maxBackoff)
 			continue
 		}
 		switch {
-		case !known && next.Epoch > cursor.Epoch && cursor != view.Cursor{}:
+		case !known && next.Epoch > cursor.Epoch && cursor != discovery.Cursor{}:
 			q.mergeRestored(ctx, records)
 		case !known || records.Len() > 0:
 			q.merge(records, !known)
@@ -66,15 +66,15 @@
 }
 
 // read makes one call to the store and repeats a long poll whose response is overdue.
-func (q *Quarantine) read(ctx context.Context, known bool, cursor view.Cursor, wait time.Duration) (Records, view.Cursor, error) {
+func (q *Quarantine) read(ctx context.Context, known bool, cursor discovery.Cursor, wait time.Duration) (Records, discovery.Cursor, error) {
 	if !known {
 		return q.opts.Store.Records(ctx)
 	}
 	type result struct {
 		records Records
-		cursor  view.Cursor
+		cursor  discovery.Cursor
 	}
-	got, err := view.HedgedPoll(ctx, wait, func(ctx context.Context, wait time.Duration) (result, error) {
+	got, err := discovery.HedgedPoll(ctx, wait, func(ctx context.Context, wait time.Duration) (result, error) {
 		records, next, err := q.opts.Store.RecordsAfter(ctx, cursor, wait)
 		return result{records, next}, err
 	})
