--- a/admission/retries_test.go
+++ b/admission/retries_test.go
@@ -68,10 +68,10 @@
 		t.Run(name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, uint64(spread*100)))
 			type try struct {
-				at    time.Time
-				print uint64
-				ends  time.Time
-				retry bool
+				at          time.Time
+				fingerprint uint64
+				deadline    time.Time
+				retry       bool
 			}
 			var r RetryDetector
 			var retries []try
@@ -79,15 +79,15 @@
 			now := start
 			send := func(one try) {
 				jitter := time.Duration(rng.IntN(8)) * time.Millisecond
-				_, matched := r.Match(one.print, one.ends.Add(jitter), one.at)
+				_, matched := r.Match(one.fingerprint, one.deadline.Add(jitter), one.at)
 				sent++
 				if matched != one.retry {
 					wrong++
 				}
 				if !one.retry && rng.IntN(4) == 0 {
-					r.Record(Refusal{Fingerprint: one.print, FirstTry: one.at, Deadline: one.ends}, one.at)
+					r.Record(Refusal{Fingerprint: one.fingerprint, FirstTry: one.at, Deadline: one.deadline}, one.at)
 					after := ms(400 + rng.IntN(900))
-					retries = append(retries, try{at: one.at.Add(after), print: one.print, ends: one.ends, retry: true})
+					retries = append(retries, try{at: one.at.Add(after), fingerprint: one.fingerprint, deadline: one.deadline, retry: true})
 				}
 			}
 			for i := range callers {
@@ -102,7 +102,7 @@
 					fingerprint = 1 + uint64(rng.IntN(20))
 				}
 				patience := time.Duration((1 - spread*rng.Float64()) * float64(wait)).Round(time.Millisecond)
-				send(try{at: now, print: fingerprint, ends: now.Add(patience)})
+				send(try{at: now, fingerprint: fingerprint, deadline: now.Add(patience)})
 			}
 			if share := float64(wrong) / float64(sent); share > 0.02 {
 				t.Errorf("%.1f%% of requests misclassified", 100*share)
--- a/box/ended_test.go
+++ b/box/ended_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestUpstreamEndsAreReported checks that entries learn whether the upstream ended under a request, and which end it was.
-func TestUpstreamEndsAreReported(t *testing.T) {
+// TestUpstreamExitsAreReported checks that entries learn whether the upstream exited during a request, and which incarnation it was.
+func TestUpstreamExitsAreReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -71,9 +71,9 @@
 		return &NotFoundError{ID: id}
 	}
 	end := own[len(own)-1]
-	story := append(l.knownState(own, end), own...)
-	slices.SortStableFunc(story, func(a, b line) int { return a.at.Compare(b.at) })
-	for _, ln := range story {
+	timeline := append(l.knownState(own, end), own...)
+	slices.SortStableFunc(timeline, func(a, b line) int { return a.at.Compare(b.at) })
+	for _, ln := range timeline {
 		age := ""
 		if ln.text("id") != id {
 			age = fmt.Sprintf(" [believed for %s]", end.at.Sub(ln.at).Round(time.Millisecond))
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -16,7 +16,7 @@
 {"at":"2026-01-01T00:00:05.000Z","msg":"view: configuration taken","node":"e1","revision":9}
 `
 
-func TestStory(t *testing.T) {
+func TestWriteTimeline(t *testing.T) {
 	for name, test := range map[string]struct {
 		id      string
 		want    []string
--- a/fill/links.go
+++ b/fill/links.go
@@ -252,7 +252,7 @@
 	ls.mu.Unlock()
 }
 
-// announceManifest tells all links that the version's manifest is known and its pieces can be exchanged.
+// announceManifest announces on all links that the version's manifest is known and its pieces can be exchanged.
 func (ls *links) announceManifest(u *update) {
 	ls.mu.Lock()
 	out := slices.Collect(maps.Values(ls.out))
@@ -297,7 +297,7 @@
 	ls.sendCancel(u, peer, piece)
 }
 
-// sendCancel tells a box that a requested piece is no longer wanted.
+// sendCancel notifies a box that a requested piece is no longer wanted.
 func (ls *links) sendCancel(u *update, peer string, piece int) {
 	ls.sendTo(peer, &link.Have{Manifest: u.key, Chunks: []uint32{uint32(piece)}})
 }
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// drainNotice is how long entries are told that the server drains before its load order is sent, also when its turn has
+	// drainNotice is how long entries are notified that the server drains before its load order is sent, also when its turn has
 	// passed: the server refuses requests that arrive after the order or still wait then.
 	drainNotice = 120 * time.Millisecond
 	// orderRetryDelay is the pause after an order that was refused or not answered.
@@ -120,7 +120,7 @@
 	return Turn(named, deadline, rank, n)
 }
 
-// startDraining tells entries that the server takes no new requests; true once they have had time to react.
+// startDraining announces to entries that the server takes no new requests; true once they have had time to react.
 func (b *Box) startDraining() bool {
 	b.mu.Lock()
 	already := b.draining
--- a/fill/outbound.go
+++ b/fill/outbound.go
@@ -17,7 +17,7 @@
 	usedAt time.Time
 	// receivedAt is when the last message arrived; guarded by the links' mutex.
 	receivedAt time.Time
-	// joined is the version that the other box was last told of; guarded by the links' mutex.
+	// joined is the version that the other box was last notified of; guarded by the links' mutex.
 	joined contract.Version
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-// sendTarget tells the other box which version this box is updating to, and joins that version.
+// sendTarget notifies the other box which version this box is updating to, and joins that version.
 func (l *outboundLink) sendTarget() {
 	b := l.links.box
 	u := b.current()
--- a/fill/pushback_test.go
+++ b/fill/pushback_test.go
@@ -25,7 +25,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	for name, test := range map[string]struct {
-		word   pushback.Signal
+		signal pushback.Signal
 		urgent bool
 	}{
 		"nothing": {},
@@ -34,9 +34,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := New(Config{View: v, Machine: machine.Machine{Address: "127.0.7.2", UpstreamAddress: "127.0.7.2:1"}, Log: log.Log})
-			b.setState(State{Pushback: test.word}, nil)
+			b.setState(State{Pushback: test.signal}, nil)
 			report, ok := b.newReport()
-			if !ok || report.Leaving != test.word.Leaving || report.Limited != test.word.Limited || report.Limit != test.word.Limit {
+			if !ok || report.Leaving != test.signal.Leaving || report.Limited != test.signal.Limited || report.Limit != test.signal.Limit {
 				t.Errorf("reported %+v, %t", report, ok)
 			}
 			if got := urgent(report, link.Report{Server: report.Server}); got != test.urgent {
--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -57,7 +57,7 @@
 	for i, e := range env.entries {
 		known := false
 		for deadline := now.Add(2 * time.Second); !known && time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-			_, known = e.returns.Match(refusal.Fingerprint, refusal.Deadline, time.Now())
+			_, known = e.retryDetector.Match(refusal.Fingerprint, refusal.Deadline, time.Now())
 		}
 		if !known {
 			t.Errorf("entry %d does not know the refused request", i)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -31,7 +31,7 @@
 type attempt struct {
 	call         *call
 	choice       choice
-	inFlight       *inFlightRequest
+	inFlight     *inFlightRequest
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
 	silenceTimer *time.Timer
--- a/forward/choose.go
+++ b/forward/choose.go
@@ -161,7 +161,7 @@
 }
 
 // missesVersionDeadline reports whether a request might start at a server after the deadline of its version, with a
-// margin for delays on the way.
+// margin for network delays.
 func (e *Entry) missesVersionDeadline(up *upstream, model string, c choice, now time.Time) bool {
 	due, older := e.cfg.View.VersionDeadline(model, c.version)
 	if !older {
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -54,7 +54,7 @@
 	upstreams        upstreams
 	budget           *retry.Budget
 	admission        admission.Services
-	returns          admission.RetryDetector
+	retryDetector    admission.RetryDetector
 	peers            *peerNotifier
 	boxLinks         *boxLinks
 	reader           *listReader
@@ -103,7 +103,7 @@
 
 // Components returns the services of the entry for its supervisor.
 func (e *Entry) Components() []supervise.Component {
-	parts := []supervise.Component{
+	components := []supervise.Component{
 		{Name: "callers", Run: func(ctx context.Context) error { return serve(ctx, e.callers, e.cfg.Callers) }},
 		{Name: "ready", Run: func(ctx context.Context) error { return serve(ctx, e.ready, e.cfg.Ready) }},
 		{Name: "upstreams", Run: e.followServers},
@@ -113,12 +113,12 @@
 		{Name: "quarantine writes", Run: e.cfg.Quarantine.ServeWrites},
 	}
 	if e.cfg.PeerSource != nil && e.cfg.Links != nil {
-		parts = append(parts,
+		components = append(components,
 			supervise.Component{Name: "links", Run: e.reader.serveLinks}, supervise.Component{Name: "list", Run: e.reader.serve},
 			supervise.Component{Name: "siblings", Run: e.peers.serve},
 		)
 	}
-	return parts
+	return components
 }
 
 func serve(ctx context.Context, server *http.Server, listener net.Listener) error {
--- a/forward/followers.go
+++ b/forward/followers.go
@@ -12,9 +12,9 @@
 type follower struct {
 	service string
 	// services and servers are the state sent last; nil before the first message.
-	services []contract.Service
-	servers  map[string]contract.Server
-	sentAway bool
+	services      []contract.Service
+	servers       map[string]contract.Server
+	sentStoreLost bool
 }
 
 // setFollower makes a box a follower for a service; an empty service ends that.
@@ -69,13 +69,13 @@
 // updates returns the messages that a follower lacks, and records them as sent.
 func (f *follower) updates(cfg *contract.Config, servers map[string]contract.Server, storeReachable bool) []link.Message {
 	if !storeReachable {
-		if f.sentAway {
+		if f.sentStoreLost {
 			return nil
 		}
-		f.sentAway, f.services, f.servers = true, nil, nil
+		f.sentStoreLost, f.services, f.servers = true, nil, nil
 		return []link.Message{&link.Declared{StoreLost: true}}
 	}
-	f.sentAway = false
+	f.sentStoreLost = false
 	var msgs []link.Message
 	if services := neededServices(cfg, f.service); !reflect.DeepEqual(services, f.services) {
 		f.services = services
--- a/forward/handover_more_test.go
+++ b/forward/handover_more_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestLosingAttemptsAreCancelled checks that servers are told to stop once another one has won or the caller has
+// TestLosingAttemptsAreCancelled checks that pending attempts are cancelled once another one has won or the caller has
 // left.
 func TestLosingAttemptsAreCancelled(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -55,16 +55,16 @@
 // before its latest report. Later connections may lead to the new incarnation.
 func (u *upstream) abortInFlight() {
 	u.mu.Lock()
-	var ends []func(error)
+	var aborts []func(error)
 	for t := range u.inFlightRequests {
 		if t.abort != nil && !t.connected.IsZero() && t.connected.Before(u.reportAt) {
-			ends = append(ends, t.abort)
+			aborts = append(aborts, t.abort)
 		}
 	}
 	id := u.server.ID
 	u.mu.Unlock()
-	for _, end := range ends {
-		end(&RestartedError{Server: id})
+	for _, abort := range aborts {
+		abort(&RestartedError{Server: id})
 	}
 }
 
--- a/forward/listpublisher.go
+++ b/forward/listpublisher.go
@@ -22,9 +22,9 @@
 // listFollower is what an entry has received: the version of the list, 0 for none, when it was sent, and the quarantine records, nil
 // before the first message.
 type listFollower struct {
-	version  int
-	sentAt   time.Time
-	sentEnds map[string]int
+	version     int
+	sentAt      time.Time
+	sentRecords map[string]int
 }
 
 // listHeartbeatMessage is an update without changes.
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -52,7 +52,7 @@
 
 // add records a request that this entry refused and queues it for the other entries.
 func (pn *peerNotifier) add(refusal admission.Refusal, now time.Time) {
-	pn.entry.returns.Record(refusal, now)
+	pn.entry.retryDetector.Record(refusal, now)
 	pn.mu.Lock()
 	if len(pn.pending) < maxPendingRefusals {
 		pn.pending = append(pn.pending, refusal)
@@ -68,7 +68,7 @@
 func (pn *peerNotifier) apply(msg *link.RefusedRequests) {
 	now := clock.Now()
 	for _, r := range msg.Refusals {
-		pn.entry.returns.Record(admission.Refusal{Fingerprint: r.Fingerprint, FirstTry: now.Add(-r.Age), Deadline: now.Add(r.Remaining)}, now)
+		pn.entry.retryDetector.Record(admission.Refusal{Fingerprint: r.Fingerprint, FirstTry: now.Add(-r.Age), Deadline: now.Add(r.Remaining)}, now)
 	}
 }
 
@@ -180,7 +180,7 @@
 	if !c.tracked() {
 		return 0
 	}
-	first, isRetry := c.entry.returns.Match(c.retryHash(), c.callerDeadline(), c.started)
+	first, isRetry := c.entry.retryDetector.Match(c.retryHash(), c.callerDeadline(), c.started)
 	if !isRetry {
 		return 0
 	}
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -18,7 +18,7 @@
 
 func (c *call) quarantined() bool { return c.entry.cfg.Quarantine.Held(c.fingerprint) }
 
-// recordResponse tells the quarantine that a server responded to the request; without recorded exits there is nothing
+// recordResponse records in the quarantine that a server responded to the request; without recorded exits there is nothing
 // to clear.
 func (c *call) recordResponse() {
 	if q := c.entry.cfg.Quarantine; !q.Empty() {
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -98,8 +98,8 @@
 	time.Sleep(200 * time.Millisecond)
 	began := time.Now()
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/deadly", []byte("x"))
-	for _, life := range []string{"1", "2", "3"} {
-		w.entry.cfg.Quarantine.RecordExit(life, []quarantine.Fingerprint{request})
+	for _, incarnation := range []string{"1", "2", "3"} {
+		w.entry.cfg.Quarantine.RecordExit(incarnation, []quarantine.Fingerprint{request})
 	}
 	got := <-answered
 	if took := time.Since(began); got.status != http.StatusBadGateway || took > 300*time.Millisecond {
@@ -116,10 +116,10 @@
 	servers := newCrashingServers(t, 1, 0)
 	w := newTestEnv(t, false, servers.addresses()...)
 	request := quarantine.FingerprintOf("", http.MethodPost, "h", "/safe/popular", []byte("x"))
-	for _, life := range []string{"1", "2", "3", "4", "5"} {
-		w.entry.cfg.Quarantine.RecordExit(life, []quarantine.Fingerprint{request})
+	for _, incarnation := range []string{"1", "2", "3", "4", "5"} {
+		w.entry.cfg.Quarantine.RecordExit(incarnation, []quarantine.Fingerprint{request})
 		if got := w.ask(http.MethodPost, "/safe/popular", "x", nil); got.status != http.StatusOK {
-			t.Fatalf("status %d after the exit of incarnation %s", got.status, life)
+			t.Fatalf("status %d after the exit of incarnation %s", got.status, incarnation)
 		}
 	}
 }
--- a/forward/reader.go
+++ b/forward/reader.go
@@ -250,7 +250,7 @@
 	v, source := bl.entry.cfg.View, bl.entry.cfg.PeerSource
 	if source != nil && source.AwaitingFullList() {
 		// The full list is not known yet: followers would take a partial list for the full one, and would stop following this entry if
-		// told that the store is lost.
+		// notified that the store is lost.
 		return
 	}
 	reads := v.Ready() && v.StoreReachable() && (source == nil || !source.PeerActive()) && v.ListAge() < ListWait(bl.entry.cfg.Machine.Bounds.Drain)+listCallSlack
@@ -272,20 +272,20 @@
 
 // publishListTo sends an entry the updates it lacks, and reports whether the link had room; mu is held.
 func (bl *boxLinks) publishListTo(conn *link.Conn, f *listFollower, now time.Time) bool {
-	if ends := f.endsUpdate(bl.entry.cfg.Quarantine); ends != nil && !trySend(conn, ends) {
+	if records := f.quarantineUpdate(bl.entry.cfg.Quarantine); records != nil && !trySend(conn, records) {
 		return false
 	}
 	update := bl.list.next(f, now)
 	return update == nil || conn.SendEncodedWithin(sendTimeout, update) == nil
 }
 
-// endsUpdate returns the quarantine records not yet sent to the entry; nil if there are none.
-func (f *listFollower) endsUpdate(q *quarantine.Quarantine) link.Message {
-	msg := &link.QuarantineRecords{Reset: f.sentEnds == nil}
+// quarantineUpdate returns the quarantine records not yet sent to the entry; nil if there are none.
+func (f *listFollower) quarantineUpdate(q *quarantine.Quarantine) link.Message {
+	msg := &link.QuarantineRecords{Reset: f.sentRecords == nil}
 	if msg.Reset {
-		f.sentEnds = make(map[string]int)
+		f.sentRecords = make(map[string]int)
 	}
-	msg.Records = q.Changes(f.sentEnds)
+	msg.Records = q.Changes(f.sentRecords)
 	if !msg.Reset && msg.Records.Len() == 0 {
 		return nil
 	}
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestSecondSendsHaveTheTimeThatIsLeft checks that a retry tells the server only the remaining time after a
+// TestSecondSendsHaveTheTimeThatIsLeft checks that a retry sends the server only the remaining time after a
 // suspension.
 func TestSecondSendsHaveTheTimeThatIsLeft(t *testing.T) {
 	lost := func(conn net.Conn, _ int, _ *http.Request) bool {
--- a/forward/rtt_test.go
+++ b/forward/rtt_test.go
@@ -19,7 +19,7 @@
 	}
 	for name, test := range map[string]struct {
 		filled  bool
-		way     func(now time.Time) rttWindow
+		rtt     func(now time.Time) rttWindow
 		overdue bool
 	}{
 		"all pieces held":              {true, window(0), false},
@@ -40,7 +40,7 @@
 			due, _ := w.entry.cfg.View.VersionDeadline(testModel, 1)
 			up := w.entry.upstreams.byServer(serverName(0))
 			now := due.Add(-1500 * time.Millisecond)
-			up.reportAt, up.report.HasAllPieces, up.rtt = now, test.filled, test.way(now)
+			up.reportAt, up.report.HasAllPieces, up.rtt = now, test.filled, test.rtt(now)
 			if got := w.entry.missesVersionDeadline(up, testModel, choice{version: 1}, now); got != test.overdue {
 				t.Errorf("overdue %t, want %t", got, test.overdue)
 			}
@@ -51,7 +51,7 @@
 func TestRTTDelay(t *testing.T) {
 	now := time.Now()
 	for name, test := range map[string]struct {
-		way      rttWindow
+		rtt      rttWindow
 		min, max time.Duration
 	}{
 		"not measured":           {rttWindow{}, 0, 0},
@@ -62,7 +62,7 @@
 		"first probe overdue":    {rttWindow{probeSentAt: now.Add(-3 * time.Second)}, 3 * time.Second, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := test.way.delay(now); got < test.min || got > test.max {
+			if got := test.rtt.delay(now); got < test.min || got > test.max {
 				t.Errorf("delay %s, want %s to %s", got, test.min, test.max)
 			}
 		})
--- a/forward/size_test.go
+++ b/forward/size_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkTellListChange encodes a change of one server for following entries.
-func BenchmarkTellListChange(b *testing.B) {
+// BenchmarkRelayListChange encodes a change of one server for following entries.
+func BenchmarkRelayListChange(b *testing.B) {
 	for _, n := range []int{301, 1002, 3002} {
 		_, servers := newSizedEntry(n)
 		var publisher listPublisher
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -32,7 +32,7 @@
 	return a.MaxAnswerTokens
 }
 
-// AttemptInfo holds what an attempt tells the server in addition to the caller's request.
+// AttemptInfo holds what an attempt sends the server in addition to the caller's request.
 type AttemptInfo struct {
 	TimeLeft time.Duration
 	Server   string
--- a/internal/daemoncmd/daemon.go
+++ b/internal/daemoncmd/daemon.go
@@ -48,14 +48,14 @@
 		handleSignals(ctx, signals, path, logger, d)
 		cancel()
 	}()
-	parts := append([]supervise.Component{
+	components := append([]supervise.Component{
 		{Name: "declared", Run: v.ServeDeclared},
 		{Name: "servers", Run: v.ServeServers},
 		{Name: "clock", Run: watchSuspensions(logger, d)},
 		{Name: "metrics", Run: serveMetrics(m.Address)},
 	}, d.Components()...)
 	logger.WithFields(log.Fields{"role": r.name, "id": m.ID, "site": m.Site, "pid": os.Getpid()}).Info("daemon: started")
-	err = supervise.Run(ctx, r.name, logger, parts)
+	err = supervise.Run(ctx, r.name, logger, components)
 	logger.WithFields(log.Fields{"role": r.name, "id": m.ID, "ran_ms": time.Since(started).Milliseconds()}).Info("daemon: stopped")
 	return err
 }
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -31,9 +31,9 @@
 			var granted atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 12 {
-				draws := &permit.Downloads{Table: table, Holder: fmt.Sprint("box-", i)}
+				downloads := &permit.Downloads{Table: table, Holder: fmt.Sprint("box-", i)}
 				wg.Go(func() {
-					if ok, err := draws.Acquire(context.Background(), weights.DigestOf(nil), 7, i%swarm.MaxPermits); err == nil && ok {
+					if ok, err := downloads.Acquire(context.Background(), weights.DigestOf(nil), 7, i%swarm.MaxPermits); err == nil && ok {
 						granted.Add(1)
 					}
 				})
@@ -47,9 +47,9 @@
 }
 
 func TestDrawsAgainNeedsAnotherPermit(t *testing.T) {
-	draws := &permit.Downloads{Table: newTable(t), Holder: "box"}
+	downloads := &permit.Downloads{Table: newTable(t), Holder: "box"}
 	for i := range swarm.MaxPermits + 1 {
-		ok, err := draws.Acquire(context.Background(), weights.DigestOf(nil), 0, 0)
+		ok, err := downloads.Acquire(context.Background(), weights.DigestOf(nil), 0, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
