--- a/discovery/hedge.go
+++ b/discovery/hedge.go
@@ -62,8 +62,8 @@
 // responseStartedKey is the context key of the function that ResponseStarted calls.
 type responseStartedKey struct{}
 
-// ResponseStarted reports that the response to the call of ctx has started to arrive, so that the call is not hedged any more: another call
-// would only transfer the same bytes twice.
+// ResponseStarted reports that the response to the call of ctx has started to arrive, so that the call is not hedged any more:
+// another call would only transfer the same bytes twice.
 func ResponseStarted(ctx context.Context) {
 	if started, ok := ctx.Value(responseStartedKey{}).(func()); ok {
 		started()
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -24,8 +24,8 @@
 	PollTimeout time.Duration
 	// MinRetryDelay is the initial backoff after a failed call.
 	MinRetryDelay time.Duration
-	// CoalesceDelay is the longest delay after a declared change, shorter for a small response; ServersCoalesceDelay is the delay after a change of
-	// the list of servers. They let changes in quick succession share a call.
+	// CoalesceDelay is the longest delay after a declared change, shorter for a small response; ServersCoalesceDelay is the delay
+	// after a change of the list of servers. They let changes in quick succession share a call.
 	CoalesceDelay        time.Duration
 	ServersCoalesceDelay time.Duration
 	// FullReadOnChange makes the view read all that is declared after a change, instead of every change since.
@@ -92,8 +92,8 @@
 	lostFeeds int
 }
 
-// PollTimeoutWithin returns the longest poll timeout with which a stalled call is hedged within bound, or the default if there is no bound.
-// Each call is billed, so longer waits are cheaper.
+// PollTimeoutWithin returns the longest poll timeout with which a stalled call is hedged within bound, or the default if there is
+// no bound. Each call is billed, so longer waits are cheaper.
 func PollTimeoutWithin(bound time.Duration) time.Duration {
 	if bound <= 0 {
 		return DefaultPollTimeout
@@ -101,8 +101,8 @@
 	return max(bound-2*hedgeAfter, minPollTimeout)
 }
 
-// ServersCoalesceDelayWithin returns the delay after a change of the list of servers for a drain timeout. A longer delay saves calls while servers
-// start or load and the list changes all the time.
+// ServersCoalesceDelayWithin returns the delay after a change of the list of servers for a drain timeout. A longer delay saves
+// calls while servers start or load and the list changes all the time.
 func ServersCoalesceDelayWithin(drain time.Duration) time.Duration {
 	return max(drain/drainFraction, DefaultServersCoalesceDelay)
 }
@@ -154,7 +154,8 @@
 	return v.lostFeeds == 0
 }
 
-// MayBeStale reports whether a newer configuration may be in force: the store has not responded for too long, or peers know a newer one.
+// MayBeStale reports whether a newer configuration may be in force: the store has not responded for too long, or peers know a
+// newer one.
 func (v *View) MayBeStale() bool {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
--- a/lab/standin/caller.go
+++ b/lab/standin/caller.go
@@ -35,8 +35,7 @@
 	Violation string
 	// ConnectionClose reports that the server closes the connection after this response.
 	ConnectionClose bool
-	// RetryAfter is the Retry-After header.
-	RetryAfter string
+	RetryAfter      string
 }
 
 // Complete reports whether the response is a complete and valid success.
--- a/lab/standin/server.go
+++ b/lab/standin/server.go
@@ -25,8 +25,7 @@
 	Hang bool
 	// DropResponse runs the request and closes the connection without a response.
 	DropResponse int
-	// Truncate truncates the response.
-	Truncate int
+	Truncate     int
 	// ExtraResponse sends a second, unrequested response on the connection.
 	ExtraResponse int
 	// Fail responds with status 500.
--- a/link/follow.go
+++ b/link/follow.go
@@ -32,8 +32,8 @@
 	Gone    []string          `cbor:"3,keyasint,omitempty"`
 }
 
-// QuarantineRecords relays the quarantine records of server exits and of the requests in progress: all of them if Reset, otherwise what changed or
-// is gone.
+// QuarantineRecords relays the quarantine records of server exits and of the requests in progress: all of them if Reset,
+// otherwise what changed or is gone.
 type QuarantineRecords struct {
 	Reset   bool               `cbor:"1,keyasint,omitempty"`
 	Records quarantine.Records `cbor:"2,keyasint"`
--- a/link/request.go
+++ b/link/request.go
@@ -41,8 +41,8 @@
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// End ends a response with its outcome; Load is the number of the box's requests in progress, EndedIncarnation the upstream's incarnation if it
-// exited during the request.
+// End ends a response with its outcome; Load is the number of the box's requests in progress, EndedIncarnation the upstream's
+// incarnation if it exited during the request.
 type End struct {
 	ID               uint64  `cbor:"1,keyasint"`
 	Outcome          Outcome `cbor:"2,keyasint"`
--- a/peersource/source.go
+++ b/peersource/source.go
@@ -77,8 +77,9 @@
 	}
 }
 
-// NewEntrySource returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only the list
-// of servers is relayed between entries; while it is shared, calls wait for maxWait at most, so that a stalled connection is noticed.
+// NewEntrySource returns an entry's source, which follows the store at once and continuously while no other entry feeds it. Only
+// the list of servers is relayed between entries; while it is shared, calls wait for maxWait at most, so that a stalled
+// connection is noticed.
 func NewEntrySource(store discovery.Source, maxWait time.Duration) *EntrySource {
 	return &EntrySource{
 		Source: &Source{
@@ -95,7 +96,8 @@
 	shared  atomic.Bool
 }
 
-// SetShared sets whether other entries depend on this one for the list of servers. If not, calls may wait longer, which saves billed calls.
+// SetShared sets whether other entries depend on this one for the list of servers. If not, calls may wait longer, which saves
+// billed calls.
 func (s *EntrySource) SetShared(shared bool) { s.shared.Store(shared) }
 
 // AwaitingFullList reports whether the full list has not been read or received yet.
--- a/permit/drain.go
+++ b/permit/drain.go
@@ -18,7 +18,7 @@
 	Holder string
 }
 
-// DrainLease is a drain lease; its row's number is the expiry in Unix milliseconds.
+// DrainLease is one of the drain permits of a service; its row's number is the expiry in Unix milliseconds.
 type DrainLease struct {
 	key       store.Key
 	expiresAt int64
