--- a/discovery/apply.go
+++ b/discovery/apply.go
@@ -9,8 +9,8 @@
 	"github.com/coralstair/coralstair/contract"
 )
 
-// noteUnreachable records a failed call to the store; first marks the first failure in a row on this feed.
-func (v *View) noteUnreachable(first bool) {
+// recordUnreachable records a failed call to the store; first marks the first failure in a row on this feed.
+func (v *View) recordUnreachable(first bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lastFailure = v.now()
@@ -20,8 +20,8 @@
 	}
 }
 
-// noteReachable records that the store responds on a feed again.
-func (v *View) noteReachable() {
+// recordReachable records that the store responds on a feed again.
+func (v *View) recordReachable() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lostFeeds--
--- a/discovery/follow.go
+++ b/discovery/follow.go
@@ -100,14 +100,14 @@
 			if !lost {
 				v.opts.Log.WithField("feed", feed).WithField("cause", err.Error()).Warn("view: the store is lost")
 			}
-			v.noteUnreachable(!lost)
+			v.recordUnreachable(!lost)
 			lost = true
 			wait = backoff/2 + rand.N(backoff)
 			backoff = min(2*backoff, maxRetryDelay)
 		default:
 			if lost {
 				v.opts.Log.WithField("feed", feed).Info("view: the store is back")
-				v.noteReachable()
+				v.recordReachable()
 			}
 			backoff, lost = v.opts.MinRetryDelay, false
 		}
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -67,7 +67,7 @@
 }
 
 // availableIn returns the time until the server accepts another request of this entry; 0 for now. Servers that ask
-// for rest are skipped even when most do: idle as they are, they would look cheapest, and each refusal draws on the
+// for a pause are skipped even when most do: idle as they are, they would look cheapest, and each refusal draws on the
 // retry budget. mu is held.
 func (u *upstream) availableIn(entries int, now time.Time) time.Duration {
 	return max(u.limit.Wait(now, u.limitShare(entries)), u.pausedUntil.Sub(now), 0)
