--- a/forward/admission_test.go
+++ b/forward/admission_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestFirstTriesGoBeforeRetries checks that under load a retry is refused while first tries are admitted, whatever the callers'
-// timeouts, and that it is admitted when no first try is refused.
+// timeouts.
 func TestFirstTriesGoBeforeRetries(t *testing.T) {
 	server := newFakeServer(t, streamEvents("s", 1, writeLastChunk))
 	w := newModelTestEnv(t, server.address)
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -27,7 +27,7 @@
 
 const eventStreamType = "text/event-stream"
 
-// attempt is one try of a call at a server.
+// attempt is one send of a call's request to a server.
 type attempt struct {
 	call         *call
 	choice       choice
--- a/forward/boxlinks_test.go
+++ b/forward/boxlinks_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Held until the test ends, so that no other test gets the port.
+	// Kept open until the test ends, so that no other test gets the port.
 	t.Cleanup(func() { _ = probe.Close() })
 	port := probe.Addr().(*net.TCPAddr).Port
 	box := func(host, server string, silent bool) *atomic.Int32 {
--- a/forward/call.go
+++ b/forward/call.go
@@ -77,7 +77,7 @@
 	mayHaveRun      bool
 	lastChoice      choice
 	firstEventAfter time.Duration
-	tries           []string
+	attemptLog      []string
 
 	// fp is computed on first use. connLost is set once a connection broke during the request.
 	fp       quarantine.Fingerprint
@@ -96,7 +96,7 @@
 type attemptResult int
 
 const (
-	// resultDone means that the caller has its response, complete or cut.
+	// resultDone means that the server sent a usable response: a complete one, or a stream up to the next event or its end.
 	resultDone attemptResult = iota
 	// resultNotRun means that the server did not run the request.
 	resultNotRun
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -15,17 +15,17 @@
 	started   time.Time
 }
 
-// callerConn is the state of a caller's connection. closing is set once closing it has begun while it was idle.
+// callerConn is the state of a caller's connection. closing is set once the entry has begun to close it.
 type callerConn struct {
 	state   http.ConnState
 	since   time.Time
 	closing bool
 }
 
-// reusable reports whether the caller may still send a request on the connection, given how long callers keep idle
-// ones.
-func (c *callerConn) reusable(now time.Time, rest time.Duration) bool {
-	return c.state != http.StateActive && now.Sub(c.since) < rest
+// reusable reports whether the caller may still send a request on the connection, given how long callers reuse an
+// idle one.
+func (c *callerConn) reusable(now time.Time, reuseTime time.Duration) bool {
+	return c.state != http.StateActive && now.Sub(c.since) < reuseTime
 }
 
 // callerConns tracks the callers' connections and the requests in progress.
@@ -93,11 +93,11 @@
 
 // drained reports whether no request is in progress, none arrived lately, and every connection has been idle for
 // longer than callers reuse one.
-func (c *callerConns) drained(now time.Time, rest time.Duration) bool {
+func (c *callerConns) drained(now time.Time, reuseTime time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.conns {
-		if conn.state == http.StateActive || conn.reusable(now, rest) {
+		if conn.state == http.StateActive || conn.reusable(now, reuseTime) {
 			return false
 		}
 	}
@@ -105,12 +105,12 @@
 }
 
 // reusable counts the connections without a request on which one may still arrive.
-func (c *callerConns) reusable(now time.Time, rest time.Duration) int {
+func (c *callerConns) reusable(now time.Time, reuseTime time.Duration) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for _, conn := range c.conns {
-		if conn.reusable(now, rest) {
+		if conn.reusable(now, reuseTime) {
 			n++
 		}
 	}
--- a/forward/entry.go
+++ b/forward/entry.go
@@ -82,8 +82,8 @@
 	e.oneShotTransport.DisableKeepAlives = true
 	e.upstreams.subsetWeights, e.upstreams.limitSharers = e.subsetWeights, e.limitSharers
 	e.boxLinks = newBoxLinks(e)
-	e.cfg.Quarantine.OnChange(func(held bool) {
-		if held {
+	e.cfg.Quarantine.OnChange(func(added bool) {
+		if added {
 			e.cancelQuarantined()
 		}
 		e.boxLinks.wake()
--- a/forward/errors.go
+++ b/forward/errors.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// InvalidResponseError means that a server's response is incomplete or not one to the request.
+// InvalidResponseError means that a server's response is not usable, such as an incomplete one or one to another request.
 type InvalidResponseError struct{ Reason string }
 
 // Error gives the reason.
--- a/forward/fixture_test.go
+++ b/forward/fixture_test.go
@@ -300,7 +300,7 @@
 	}
 }
 
-// reset closes a connection with a TCP reset.
+// reset makes closing conn send a TCP reset. A responder returns its result, false, to have conn closed.
 func reset(conn net.Conn) bool {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -56,7 +56,7 @@
 	}
 	c := &call{
 		entry: e, w: w, r: r, ask: info, route: route, team: team, body: body,
-		started: started, deadline: started.Add(wait(info, route)), config: cfg.Revision, excluded: make(map[string]bool),
+		started: started, deadline: started.Add(timeLimit(info, route)), config: cfg.Revision, excluded: make(map[string]bool),
 	}
 	c.service = cfg.Service(route.Service(rand.Float64()))
 	if c.service == nil {
@@ -75,8 +75,8 @@
 	return team, team != nil
 }
 
-// wait returns the time limit of a request: that of the caller, capped by that of the route.
-func wait(info RequestInfo, route *contract.Route) time.Duration {
+// timeLimit returns the time limit of a request: that of the caller, capped by that of the route.
+func timeLimit(info RequestInfo, route *contract.Route) time.Duration {
 	limit := info.Timeout
 	if limit <= 0 {
 		limit = defaultTimeout
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -58,14 +58,15 @@
 		return
 	}
 	a.versionTimer = time.AfterFunc(clock.Until(due)-versionDeadlineMargin, func() {
-		if _, waits := a.state(); waits {
+		if _, live := a.state(); live {
 			a.cancel(&VersionDeadlineError{Server: a.choice.server.ID})
 		}
 	})
 }
 
-// responseTimeout returns how long the server may stay silent. While events of the primary are buffered for it that
-// is hardly longer than the pause goal.
+// responseTimeout returns how long the server may stay silent. An attempt beside a primary gets the pause goal, or
+// somewhat more than its predicted time to the first event if that is longer: the primary's events are buffered
+// meanwhile.
 func (a *attempt) responseTimeout() time.Duration {
 	if a.primary == nil {
 		return a.choice.silenceTimeout()
@@ -253,8 +254,8 @@
 	return first
 }
 
-// hedge sends the request to a second server if a is the only attempt in progress and the second is predicted to
-// respond in time.
+// hedge sends the request to a second server if a is the only attempt in progress. A move off a closing server also
+// requires that the second one is predicted to respond in time.
 func (c *call) hedge(a *attempt, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/forward/handover_faults_test.go
+++ b/forward/handover_faults_test.go
@@ -28,7 +28,7 @@
 		cfg := w.entry.cfg.View.Config()
 		route := cfg.Route(r.Host, r.URL.Path)
 		c := &call{
-			entry: w.entry, w: rw, r: r, ask: ask, route: route, started: time.Now(), deadline: time.Now().Add(wait(ask, route)),
+			entry: w.entry, w: rw, r: r, ask: ask, route: route, started: time.Now(), deadline: time.Now().Add(timeLimit(ask, route)),
 			excluded: make(map[string]bool), service: cfg.Service("s"),
 		}
 		calls <- c
--- a/forward/handover_test.go
+++ b/forward/handover_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestLateWholeAnswer checks the same for a response that is not a stream.
+// TestLateWholeAnswer checks that a late response that is not a stream is relayed although the server tried meanwhile
+// refuses.
 func TestLateWholeAnswer(t *testing.T) {
 	t.Parallel()
 	late := func(conn net.Conn, n int, r *http.Request) bool {
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -76,8 +76,8 @@
 }
 
 // onServerRestart sets the function that aborts the request when its server restarts.
-func (t *inFlightRequest) onServerRestart(abandon func(cause error)) {
+func (t *inFlightRequest) onServerRestart(abort func(cause error)) {
 	t.up.mu.Lock()
 	defer t.up.mu.Unlock()
-	t.abort = abandon
+	t.abort = abort
 }
--- a/forward/listpublisher.go
+++ b/forward/listpublisher.go
@@ -19,8 +19,8 @@
 	snapshot link.Encoded
 }
 
-// listFollower is what an entry has received: the version of the list, 0 for none, when it was sent, and the quarantine records, nil
-// before the first message.
+// listFollower holds what was sent to an entry that follows the list: the version of the list, 0 for none, the time of the latest
+// message, and the quarantine records, nil before the first message.
 type listFollower struct {
 	version     int
 	sentAt      time.Time
--- a/forward/move.go
+++ b/forward/move.go
@@ -95,7 +95,8 @@
 	a.call.hedge(a, &ClosingError{Server: a.choice.server.ID})
 }
 
-// tooFewServers reports whether so few servers can't take over the requests of the others.
+// tooFewServers reports whether the given number of servers is too small to take over the requests of the service's
+// others.
 func (c *call) tooFewServers(servers int) bool {
 	return servers*takeoverDivisor < len(c.entry.upstreams.preferred(c.service.Name))
 }
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -28,7 +28,7 @@
 		reason += ": " + err.Error()
 	}
 	c.mu.Lock()
-	c.tries = append(c.tries, a.choice.server.ID+" "+reason)
+	c.attemptLog = append(c.attemptLog, a.choice.server.ID+" "+reason)
 	c.connLost = c.connLost || lost
 	c.mu.Unlock()
 	c.logEjection(a, ejection, reason)
@@ -42,7 +42,7 @@
 		Info("forward: server ejected")
 }
 
-// recordResult updates the server's health; it returns the result as a word and how long the server is now ejected.
+// recordResult updates the server's health; it returns the result's name in logs and how long the server is now ejected.
 func (u *upstream) recordResult(result attemptResult, err error, now time.Time) (reason string, ejection time.Duration) {
 	switch {
 	case result == resultNotRun:
@@ -89,7 +89,7 @@
 		fields["cause"] = cause.Error()
 	}
 	if c.sends+c.refusalCount > 1 {
-		fields["tries"] = c.tries
+		fields["tries"] = c.attemptLog
 	}
 	if c.connLost {
 		fields["fingerprint"] = c.fingerprint().String()
--- a/forward/overdue_test.go
+++ b/forward/overdue_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Regression: requests cancelled there got a 502 at once when the next server refused and all others were about to
-// load.
+// Regression: requests cancelled before the deadline of their server's version got a 502 at once when the next server
+// refused and all others were about to load.
 
 // TestRequestTakenAwayWaitsForAPlace checks that a request cancelled at its server keeps looking for another one for
 // some time.
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -12,8 +12,8 @@
 const (
 	// reportLag is the mean age of what is known about other entries' requests.
 	reportLag = 90 * time.Millisecond
-	// predictionMargin covers errors in predicted waits at full servers: differences below it don't count, and
-	// choices are spread over what is sent within it.
+	// predictionMargin covers errors in predicted waits at full servers: a choice is spread over the requests
+	// sent within reportLag plus this time.
 	predictionMargin = 200 * time.Millisecond
 	// typicalBatch is the batch size assumed for the cost of one more request.
 	typicalBatch = 8
@@ -33,8 +33,8 @@
 	}
 }
 
-// estimateInFlight estimates how many requests all entries send before a report shows them, this one included, and over
-// how many a choice is spread.
+// estimateInFlight estimates how many requests all entries send before a report shows them, the current one included,
+// and over how many requests the choice of a server is spread.
 func (s requestCounts) estimateInFlight(e *contract.Engine) balance.InFlight {
 	return balance.InFlight{Unreported: 1 + s.othersSentIn(reportLag, e), Window: 1 + s.othersSentIn(reportLag+predictionMargin, e)}
 }
--- a/forward/pick_test.go
+++ b/forward/pick_test.go
@@ -9,30 +9,30 @@
 )
 
 func TestPick(t *testing.T) {
-	const adds = 50 * time.Millisecond
-	offers := func(costs ...time.Duration) []choice {
-		var of []choice
+	const addedCost = 50 * time.Millisecond
+	withCosts := func(costs ...time.Duration) []choice {
+		var choices []choice
 		for i, cost := range costs {
-			of = append(of, choice{server: contract.Server{ID: serverName(i)}, cost: cost * time.Millisecond})
+			choices = append(choices, choice{server: contract.Server{ID: serverName(i)}, cost: cost * time.Millisecond})
 		}
-		return of
+		return choices
 	}
 	for name, test := range map[string]struct {
-		offers []choice
-		unseen float64
+		choices    []choice
+		unreported float64
 		// least and most bound how many of 1,000 requests the first server gets.
 		least, most int
 	}{
-		"one request":                 {offers(100, 101, 300), 1, 990, 1000},
-		"equal costs":                 {offers(100, 100, 100, 100), 8, 200, 300},
-		"idle server is filled first": {offers(0, 200, 200, 200), 4, 990, 1000},
-		"others get the excess":       {offers(0, 100, 100, 100), 10, 350, 450},
-		"much higher cost":            {offers(900, 100, 100), 4, 0, 0},
+		"one request":                 {withCosts(100, 101, 300), 1, 990, 1000},
+		"equal costs":                 {withCosts(100, 100, 100, 100), 8, 200, 300},
+		"idle server is filled first": {withCosts(0, 200, 200, 200), 4, 990, 1000},
+		"others get the excess":       {withCosts(0, 100, 100, 100), 10, 350, 450},
+		"much higher cost":            {withCosts(900, 100, 100), 4, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			taken := 0
 			for range 1000 {
-				if pick(test.offers, balance.InFlight{Unreported: test.unseen, Window: test.unseen}, adds).server.ID == serverName(0) {
+				if pick(test.choices, balance.InFlight{Unreported: test.unreported, Window: test.unreported}, addedCost).server.ID == serverName(0) {
 					taken++
 				}
 			}
--- a/forward/pushback.go
+++ b/forward/pushback.go
@@ -88,16 +88,16 @@
 	return e.budget.Entries()
 }
 
-// availableIn returns the time until some server of a service, other than those in not, accepts a request of this
-// entry; 0 if unknown.
-func (e *Entry) availableIn(service string, not map[string]bool, now time.Time) time.Duration {
+// availableIn returns the time until some server of a service, other than the excluded ones, accepts a request of this
+// entry; 0 if there is none.
+func (e *Entry) availableIn(service string, excluded map[string]bool, now time.Time) time.Duration {
 	soonest, entries := time.Duration(-1), e.limitSharers()
 	for _, ups := range [][]*upstream{e.upstreams.preferred(service), e.upstreams.fallback(service)} {
 		for _, up := range ups {
 			up.mu.Lock()
-			in, out := up.availableIn(entries, now), up.isLeaving() || not[up.server.ID]
+			in, skip := up.availableIn(entries, now), up.isLeaving() || excluded[up.server.ID]
 			up.mu.Unlock()
-			if !out && (soonest < 0 || in < soonest) {
+			if !skip && (soonest < 0 || in < soonest) {
 				soonest = in
 			}
 		}
--- a/forward/pushback_test.go
+++ b/forward/pushback_test.go
@@ -178,7 +178,7 @@
 
 func TestNoRowTakesBackThatAServerLeaves(t *testing.T) {
 	const id = "server0"
-	for name, rows := range map[string][]bool{
+	for name, updates := range map[string][]bool{
 		"unchanged entry":                           {false},
 		"entry says leaving too":                    {true},
 		"older entry follows one that says leaving": {true, false},
@@ -188,7 +188,7 @@
 			up.applyListing(discovery.ListedServer{Server: contract.Server{ID: id}}, 1)
 			up.applyPushback(pushback.Signal{Leaving: true}, time.Now(), time.Now(), 1)
 			up.applyPushback(pushback.Signal{}, time.Now(), time.Now(), 1)
-			for _, leaving := range rows {
+			for _, leaving := range updates {
 				up.applyListing(discovery.ListedServer{Server: contract.Server{ID: id, Leaving: leaving}}, 1)
 			}
 			if !up.isLeaving() {
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// cancelQuarantined cancels attempts of quarantined requests that have no response yet: one that still waits has not
-// caused an exit.
+// cancelQuarantined cancels attempts of quarantined requests that have no response yet, before they make more servers
+// exit.
 func (e *Entry) cancelQuarantined() {
 	for _, c := range e.calls.list() {
 		if c.quarantined() {
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -73,8 +73,8 @@
 			for n := range 8 {
 				got := w.ask(http.MethodPost, path+"deadly", "x", nil)
 				time.Sleep(2 * exitLogDelay)
-				held := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
-				if n >= 3 && !held {
+				refused := got.status == http.StatusServiceUnavailable && got.header.Get("Retry-After") != ""
+				if n >= 3 && !refused {
 					t.Errorf("send %d: status %d, want 503 with Retry-After", n+1, got.status)
 				}
 			}
--- a/forward/retryafter.go
+++ b/forward/retryafter.go
@@ -16,7 +16,7 @@
 	retryAfterSpread  = 900 * time.Millisecond
 	loadingRetryAfter = 600 * time.Millisecond
 	plainRetryAfter   = 300 * time.Millisecond
-	// Callers are asked back once 1/readyDivisor of a service's servers are ready.
+	// Callers are told to retry once 1/readyDivisor of a service's loading servers are predicted to be ready.
 	readyDivisor = 4
 )
 
--- a/forward/rtt.go
+++ b/forward/rtt.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// Round trips are measured every rttInterval while a box fetches a version whose deadline is near. Samples are valid
-	// for rttTTL, a probe fails after rttTimeout, and rttSamples are considered together.
+	// Round trips are measured every rttInterval while a box fetches the pieces of a newer version. Samples are valid for
+	// rttTTL, a probe fails after rttTimeout, and rttSamples are considered together.
 	rttInterval = 300 * time.Millisecond
 	rttTTL      = 1200 * time.Millisecond
 	rttTimeout  = 4 * time.Second
--- a/forward/serverexit.go
+++ b/forward/serverexit.go
@@ -65,9 +65,9 @@
 // checkExit determines whether a server has exited, and records the requests lost with it.
 func (e *Entry) checkExit(up *upstream, checked chan struct{}) {
 	known := up.exitedRecently(clock.Now())
-	ended := known || probe.Refuses(up.address())
-	incarnation, requests := up.takeLostRequests(ended, clock.Now())
-	if ended && !known {
+	exited := known || probe.Refuses(up.address())
+	incarnation, requests := up.takeLostRequests(exited, clock.Now())
+	if exited && !known {
 		up.recordUnreachable(clock.Now())
 	}
 	if len(requests) > 0 {
@@ -111,20 +111,20 @@
 
 // takeLostRequests ends an exit check. If the server has exited it returns each lost request once; otherwise they are
 // kept until they expire.
-func (u *upstream) takeLostRequests(ended bool, now time.Time) (incarnation string, requests []quarantine.Fingerprint) {
+func (u *upstream) takeLostRequests(exited bool, now time.Time) (incarnation string, requests []quarantine.Fingerprint) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.exitChecked = nil
-	u.lostRequests = slices.DeleteFunc(u.lostRequests, func(b lostRequest) bool { return now.Sub(b.at) > lostRequestTTL })
-	if !ended {
+	u.lostRequests = slices.DeleteFunc(u.lostRequests, func(lost lostRequest) bool { return now.Sub(lost.at) > lostRequestTTL })
+	if !exited {
 		return "", nil
 	}
 	if u.exitedAt.IsZero() || now.Sub(u.exitedAt) >= exitTTL {
 		u.exitedAt = now
 	}
-	for _, b := range u.lostRequests {
-		if !slices.Contains(requests, b.request) {
-			requests = append(requests, b.request)
+	for _, lost := range u.lostRequests {
+		if !slices.Contains(requests, lost.request) {
+			requests = append(requests, lost.request)
 		}
 	}
 	u.lostRequests = nil
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -37,7 +37,7 @@
 	version    contract.Version
 	headerSent bool
 	out        *http.ResponseController
-	// hasEventID is set when the caller's last event has an id, callerGone when a write to the caller has failed.
+	// hasEventID is set once the caller has an event with an id, callerGone once a write to the caller has failed.
 	hasEventID atomic.Bool
 	callerGone atomic.Bool
 
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -45,8 +45,8 @@
 	listedBorn int64
 	// weight is the number of entries that this one represents at the server; 0 if the server is outside its subset.
 	weight float64
-	// missing is set while the server is not listed, possibly by a lapse of the list; it gets no requests after
-	// unusableAt.
+	// missing is set while the server is not listed, perhaps only because its list entry has expired; it gets no
+	// requests after unusableAt.
 	missing    bool
 	unusableAt time.Time
 
@@ -238,8 +238,8 @@
 
 // observeLag adds the delay of one first event beyond its prediction to the lag; mu is held.
 func (u *upstream) observeLag(late time.Duration, now time.Time) {
-	faded := u.currentLag(now)
-	u.lag = faded + time.Duration(lagWeight*float64(max(late-lagTolerance, 0)-faded))
+	decayed := u.currentLag(now)
+	u.lag = decayed + time.Duration(lagWeight*float64(max(late-lagTolerance, 0)-decayed))
 	u.lagAt = now
 }
 
