--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -63,18 +63,18 @@
 // exchange sends the request and returns once there is a complete response or, for a stream, the first event that the
 // caller lacks.
 func (a *attempt) exchange() (attemptResult, error) {
-	send := AttemptInfo{}
-	a.lastEvent = a.call.ask.LastEvent
+	extra := AttemptInfo{}
+	a.lastEvent = a.call.info.LastEvent
 	s := a.callerStream()
 	if s != nil {
 		a.lastEvent = s.startBuffering(a)
-		send = AttemptInfo{LastEvent: a.lastEvent, Version: s.version}
+		extra = AttemptInfo{LastEvent: a.lastEvent, Version: s.version}
 	}
 	if current, live := a.state(); !live || current != s {
 		// Another attempt has won meanwhile: nothing is sent, and no events are buffered.
 		return resultNotRun, cmp.Or(context.Cause(a.ctx), context.Canceled)
 	}
-	if result, err := a.send(send); err != nil {
+	if result, err := a.send(extra); err != nil {
 		return result, err
 	}
 	switch {
@@ -179,11 +179,11 @@
 // checkHeader checks that the response belongs to this request.
 func (a *attempt) checkHeader() error {
 	switch {
-	case a.call.ask.ID != "" && a.reply.ID != "" && a.reply.ID != a.call.ask.ID:
+	case a.call.info.ID != "" && a.reply.ID != "" && a.reply.ID != a.call.info.ID:
 		return &InvalidResponseError{Reason: "request id does not match"}
 	case a.reply.NotRun:
 		return nil
-	case a.call.ask.ID != "" && a.reply.ID == "":
+	case a.call.info.ID != "" && a.reply.ID == "":
 		return &InvalidResponseError{Reason: "request id is missing"}
 	case a.resp.StatusCode/100 == 2 && !a.reply.Sealed:
 		return &InvalidResponseError{Reason: "seal is missing"}
--- a/forward/call.go
+++ b/forward/call.go
@@ -33,7 +33,7 @@
 	entry   *Entry
 	w       http.ResponseWriter
 	r       *http.Request
-	ask     RequestInfo
+	info    RequestInfo
 	route   *contract.Route
 	service *contract.Service
 	team    *contract.Team
@@ -119,7 +119,7 @@
 	}
 	c.entry.calls.add(c)
 	defer c.entry.calls.remove(c)
-	c.entry.admission.Of(c.service.Name).Record(c.admissionAsk(), c.started)
+	c.entry.admission.Of(c.service.Name).Record(c.admissionRequest(), c.started)
 	c.sinceFirst = c.sinceFirstTry()
 	var kept *response
 	var err error
@@ -250,7 +250,7 @@
 // requirements returns what a server must satisfy to take the request.
 func (c *call) requirements() requirements {
 	return requirements{
-		service: c.service, model: c.model(), promptTokens: c.ask.PromptTokens, answerTokens: c.ask.answer(), excluded: c.excluded,
+		service: c.service, model: c.model(), promptTokens: c.info.PromptTokens, answerTokens: c.info.answerTokens(), excluded: c.excluded,
 		urgent: c.urgent, movable: c.route.Repeatable() && c.sends+1 < c.route.Attempts,
 	}
 }
@@ -261,19 +261,19 @@
 	if c.service.Engine == nil || c.route.Goal <= 0 {
 		return true
 	}
-	own := engine.TimeToFirstEvent(c.service.Engine, ch.load, c.ask.PromptTokens) - engine.TimeToFirstEvent(c.service.Engine, ch.load, 1)
-	return c.entry.admission.Of(c.service.Name).Admit(c.admissionAsk(), c.sinceFirst, ch.first-own)
+	own := engine.TimeToFirstEvent(c.service.Engine, ch.load, c.info.PromptTokens) - engine.TimeToFirstEvent(c.service.Engine, ch.load, 1)
+	return c.entry.admission.Of(c.service.Name).Admit(c.admissionRequest(), c.sinceFirst, ch.first-own)
 }
 
-// admissionAsk describes the request to admission control.
-func (c *call) admissionAsk() admission.Request {
+// admissionRequest describes the request to admission control.
+func (c *call) admissionRequest() admission.Request {
 	return admission.Request{Route: c.route.Name, Goal: c.route.Goal}
 }
 
 // model returns the requested model, or else the service's only one.
 func (c *call) model() string {
-	if c.ask.Model != "" {
-		return c.ask.Model
+	if c.info.Model != "" {
+		return c.info.Model
 	}
 	if c.service.Engine == nil {
 		return ""
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -55,7 +55,7 @@
 		return
 	}
 	c := &call{
-		entry: e, w: w, r: r, ask: info, route: route, team: team, body: body,
+		entry: e, w: w, r: r, info: info, route: route, team: team, body: body,
 		started: started, deadline: started.Add(timeLimit(info, route)), config: cfg.Revision, excluded: make(map[string]bool),
 	}
 	c.service = cfg.Service(route.Service(rand.Float64()))
--- a/forward/handover.go
+++ b/forward/handover.go
@@ -27,11 +27,11 @@
 
 // start sends the request to a server in a goroutine of its own; nil if the server no longer has room. mu is held.
 func (c *call) start(ch choice) *attempt {
-	t := ch.upstream.tryAcquire(c.ask.PromptTokens, ch.first, ch.entries, clock.Now())
-	if t == nil {
+	r := ch.upstream.tryAcquire(c.info.PromptTokens, ch.first, ch.entries, clock.Now())
+	if r == nil {
 		return nil
 	}
-	a := &attempt{call: c, choice: ch, inFlight: t, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
+	a := &attempt{call: c, choice: ch, inFlight: r, priority: c.priority(), primary: c.winner, newConn: c.useNewConns}
 	a.ctx, a.cancel = context.WithCancelCause(c.ctx)
 	c.sends++
 	c.excluded[ch.server.ID] = true
@@ -274,7 +274,7 @@
 		return
 	}
 	c.entry.log.WithFields(log.Fields{
-		"id": c.ask.ID, "server": a.choice.server.ID, "to": b.choice.server.ID, "cause": cause.Error(), "begun": s != nil,
+		"id": c.info.ID, "server": a.choice.server.ID, "to": b.choice.server.ID, "cause": cause.Error(), "begun": s != nil,
 	}).Info("forward: another server is asked")
 }
 
--- a/forward/handover_faults_test.go
+++ b/forward/handover_faults_test.go
@@ -24,11 +24,11 @@
 	w.reportClosing(1, true)
 	calls := make(chan *call, 1)
 	front := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		ask := w.entry.cfg.Wire.ParseRequest(r)
+		info := w.entry.cfg.Wire.ParseRequest(r)
 		cfg := w.entry.cfg.View.Config()
 		route := cfg.Route(r.Host, r.URL.Path)
 		c := &call{
-			entry: w.entry, w: rw, r: r, ask: ask, route: route, started: time.Now(), deadline: time.Now().Add(timeLimit(ask, route)),
+			entry: w.entry, w: rw, r: r, info: info, route: route, started: time.Now(), deadline: time.Now().Add(timeLimit(info, route)),
 			excluded: make(map[string]bool), service: cfg.Service("s"),
 		}
 		calls <- c
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -56,9 +56,9 @@
 func (u *upstream) abortInFlight() {
 	u.mu.Lock()
 	var aborts []func(error)
-	for t := range u.inFlightRequests {
-		if t.abort != nil && !t.connected.IsZero() && t.connected.Before(u.reportAt) {
-			aborts = append(aborts, t.abort)
+	for r := range u.inFlightRequests {
+		if r.abort != nil && !r.connected.IsZero() && r.connected.Before(u.reportAt) {
+			aborts = append(aborts, r.abort)
 		}
 	}
 	id := u.server.ID
@@ -69,15 +69,15 @@
 }
 
 // setConnectedAt records when the connection of the request was opened.
-func (t *inFlightRequest) setConnectedAt(opened time.Time) {
-	t.up.mu.Lock()
-	defer t.up.mu.Unlock()
-	t.connected = opened
+func (r *inFlightRequest) setConnectedAt(opened time.Time) {
+	r.up.mu.Lock()
+	defer r.up.mu.Unlock()
+	r.connected = opened
 }
 
 // onServerRestart sets the function that aborts the request when its server restarts.
-func (t *inFlightRequest) onServerRestart(abort func(cause error)) {
-	t.up.mu.Lock()
-	defer t.up.mu.Unlock()
-	t.abort = abort
+func (r *inFlightRequest) onServerRestart(abort func(cause error)) {
+	r.up.mu.Lock()
+	defer r.up.mu.Unlock()
+	r.abort = abort
 }
--- a/forward/leave.go
+++ b/forward/leave.go
@@ -108,13 +108,13 @@
 	if !ok {
 		return true
 	}
-	tokens := c.ask.answer()
+	tokens := c.info.answerTokens()
 	if tokens == 0 {
 		tokens = model.UsualAnswer
 	}
 	tokens *= leaveFactor
-	if c.ask.MaxAnswerTokens > 0 {
-		tokens = min(tokens, c.ask.MaxAnswerTokens)
+	if c.info.MaxAnswerTokens > 0 {
+		tokens = min(tokens, c.info.MaxAnswerTokens)
 	}
 	duration := leaveFactor*ch.first + engine.DecodeTime(model, ch.load, tokens) + leaveMargin
 	if now.Add(duration).Before(*closes) {
--- a/forward/move.go
+++ b/forward/move.go
@@ -60,9 +60,9 @@
 	u.mu.Lock()
 	var moves []func()
 	if u.closing(clock.Now()) {
-		for t := range u.inFlightRequests {
-			if t.moveAway != nil {
-				moves = append(moves, t.moveAway)
+		for r := range u.inFlightRequests {
+			if r.moveAway != nil {
+				moves = append(moves, r.moveAway)
 			}
 		}
 	}
@@ -83,10 +83,10 @@
 }
 
 // onClosing sets the function that moves the request when its server closes.
-func (t *inFlightRequest) onClosing(move func()) {
-	t.up.mu.Lock()
-	defer t.up.mu.Unlock()
-	t.moveAway = move
+func (r *inFlightRequest) onClosing(move func()) {
+	r.up.mu.Lock()
+	defer r.up.mu.Unlock()
+	r.moveAway = move
 }
 
 // move hedges the request because its server is closing: from the start, or for a stream from the next event on the
--- a/forward/outcome.go
+++ b/forward/outcome.go
@@ -67,7 +67,7 @@
 	if status == http.StatusServiceUnavailable {
 		c.announceRefusal()
 	}
-	c.entry.refuse(c.w, c.ask.ID, status, slug, detail, after)
+	c.entry.refuse(c.w, c.info.ID, status, slug, detail, after)
 	c.outcome(slug, status, cause)
 }
 
@@ -79,7 +79,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	fields := log.Fields{
-		"id": c.ask.ID, "route": c.route.Name, "team": c.teamName(), "revision": int64(c.config),
+		"id": c.info.ID, "route": c.route.Name, "team": c.teamName(), "revision": int64(c.config),
 		"outcome": outcome, "status": status, "ms": took.Milliseconds(), "first_ms": c.firstEventAfter.Milliseconds(),
 		"server": c.lastChoice.server.ID, "predicted_ms": c.lastChoice.first.Milliseconds(),
 		"writing": c.lastChoice.load.Decoding, "reading": c.lastChoice.load.Prefilling, "attempts": c.sends + c.refusalCount, "waited_ms": c.sinceFirst.Milliseconds(),
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -196,7 +196,7 @@
 
 // tracked reports whether retries of the request are told apart from first tries.
 func (c *call) tracked() bool {
-	return c.service != nil && c.service.Engine != nil && c.ask.Timeout > 0
+	return c.service != nil && c.service.Engine != nil && c.info.Timeout > 0
 }
 
-func (c *call) callerDeadline() time.Time { return c.started.Add(c.ask.Timeout) }
+func (c *call) callerDeadline() time.Time { return c.started.Add(c.info.Timeout) }
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -9,7 +9,7 @@
 	c.fpOnce.Do(func() {
 		caller := c.teamName()
 		if caller == "" {
-			caller = c.ask.Key
+			caller = c.info.Key
 		}
 		c.fp = quarantine.FingerprintOf(caller, c.r.Method, c.r.Host, c.r.RequestURI, c.body)
 	})
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -52,7 +52,7 @@
 
 // relayStream relays events and continues at another server of the same version when the connection breaks.
 func (c *call) relayStream(ctx context.Context, a *attempt) {
-	s := &callerStream{call: c, version: a.version(), lastEvent: c.ask.LastEvent, out: http.NewResponseController(c.w)}
+	s := &callerStream{call: c, version: a.version(), lastEvent: c.info.LastEvent, out: http.NewResponseController(c.w)}
 	c.mu.Lock()
 	c.stream = s
 	c.mu.Unlock()
--- a/forward/upstream.go
+++ b/forward/upstream.go
@@ -119,46 +119,46 @@
 	u.inFlight++
 	u.reading++
 	u.unread += prompt
-	t := &inFlightRequest{up: u, prompt: prompt, sent: now, predicted: predicted}
-	u.pending = append(u.pending, t)
+	r := &inFlightRequest{up: u, prompt: prompt, sent: now, predicted: predicted}
+	u.pending = append(u.pending, r)
 	if u.inFlightRequests == nil {
 		u.inFlightRequests = make(map[*inFlightRequest]bool)
 	}
-	u.inFlightRequests[t] = true
-	return t
+	u.inFlightRequests[r] = true
+	return r
 }
 
-func (t *inFlightRequest) recordFirstEvent(now time.Time) {
-	t.up.mu.Lock()
-	defer t.up.mu.Unlock()
-	if !t.gotFirstEvent {
-		t.up.observeLag(now.Sub(t.sent)-t.predicted, now)
+func (r *inFlightRequest) recordFirstEvent(now time.Time) {
+	r.up.mu.Lock()
+	defer r.up.mu.Unlock()
+	if !r.gotFirstEvent {
+		r.up.observeLag(now.Sub(r.sent)-r.predicted, now)
 	}
-	t.recordFirstEventLocked()
+	r.recordFirstEventLocked()
 }
 
 // recordFirstEventLocked is recordFirstEvent with the server's mutex held.
-func (t *inFlightRequest) recordFirstEventLocked() {
-	if t.gotFirstEvent {
+func (r *inFlightRequest) recordFirstEventLocked() {
+	if r.gotFirstEvent {
 		return
 	}
-	t.gotFirstEvent = true
-	t.up.reading--
-	t.up.unread -= t.prompt
-	t.up.pending = slices.DeleteFunc(t.up.pending, func(other *inFlightRequest) bool { return other == t })
+	r.gotFirstEvent = true
+	r.up.reading--
+	r.up.unread -= r.prompt
+	r.up.pending = slices.DeleteFunc(r.up.pending, func(other *inFlightRequest) bool { return other == r })
 }
 
 // release ends the accounting of the request; only the first call has an effect.
-func (t *inFlightRequest) release() {
-	t.up.mu.Lock()
-	defer t.up.mu.Unlock()
-	if t.done {
+func (r *inFlightRequest) release() {
+	r.up.mu.Lock()
+	defer r.up.mu.Unlock()
+	if r.done {
 		return
 	}
-	t.done = true
-	delete(t.up.inFlightRequests, t)
-	t.recordFirstEventLocked()
-	t.up.inFlight--
+	r.done = true
+	delete(r.up.inFlightRequests, r)
+	r.recordFirstEventLocked()
+	r.up.inFlight--
 }
 
 // applyReport applies a box's report; entries is the number of entries that share a limit in it. Own requests are
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -24,12 +24,12 @@
 	LastEvent string
 }
 
-// answer returns the best estimate of the answer's length in tokens; 0 if there is none.
-func (a RequestInfo) answer() int {
-	if a.AnswerTokensHint > 0 && (a.MaxAnswerTokens == 0 || a.AnswerTokensHint < a.MaxAnswerTokens) {
-		return a.AnswerTokensHint
+// answerTokens returns the best estimate of the answer's length in tokens; 0 if there is none.
+func (r RequestInfo) answerTokens() int {
+	if r.AnswerTokensHint > 0 && (r.MaxAnswerTokens == 0 || r.AnswerTokensHint < r.MaxAnswerTokens) {
+		return r.AnswerTokensHint
 	}
-	return a.MaxAnswerTokens
+	return r.MaxAnswerTokens
 }
 
 // AttemptInfo holds what an attempt sends the server in addition to the caller's request.
