--- a/contract/service.go
+++ b/contract/service.go
@@ -5,7 +5,7 @@
 // Service is a group of interchangeable servers.
 type Service struct {
 	Name string
-	// MaxConns is the most connections of a server from all callers together.
+	// MaxConns bounds the connections to a server from all callers together.
 	MaxConns int
 	// Engine describes the service's model engines; nil for a plain service.
 	Engine *Engine
--- a/discovery/apply.go
+++ b/discovery/apply.go
@@ -41,7 +41,7 @@
 	for _, target := range declared.Targets {
 		at := v.now()
 		if first && v.config != nil && v.targets[target.Model] == nil {
-			// The target's age is unknown; half the bound minimizes the error.
+			// The target's age is unknown; half the bound limits the error in either direction.
 			at = at.Add(-v.opts.VersionBound / 2)
 		}
 		changed = v.addTarget(target, at) || changed
@@ -66,7 +66,7 @@
 	return true
 }
 
-// addTarget adds a target version that was named at a time, and reports whether it is new; mu is held.
+// addTarget adds a target version and when it was named, and reports whether it is newer than the known ones; mu is held.
 func (v *View) addTarget(target contract.Target, at time.Time) bool {
 	h := v.targets[target.Model]
 	if h == nil {
--- a/discovery/hedge_test.go
+++ b/discovery/hedge_test.go
@@ -29,8 +29,8 @@
 	// body is how long a response takes once it has started.
 	body  time.Duration
 	began time.Time
-	// whole counts the full reads.
-	whole int
+	// fullReads counts the full reads.
+	fullReads int
 }
 
 func (s *fakeStore) set(revision contract.Revision) {
@@ -76,7 +76,7 @@
 
 func (s *fakeStore) Declared(ctx context.Context) (Declared, error) {
 	s.mu.Lock()
-	s.whole++
+	s.fullReads++
 	s.mu.Unlock()
 	return s.DeclaredAfter(ctx, Cursor{}, 0)
 }
@@ -231,8 +231,8 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.whole < 2 {
-			t.Errorf("%d full reads, want another one after the outage", s.whole)
+		if s.fullReads < 2 {
+			t.Errorf("%d full reads, want another one after the outage", s.fullReads)
 		}
 	})
 }
--- a/discovery/restore.go
+++ b/discovery/restore.go
@@ -52,10 +52,10 @@
 		left, hasLeft := v.departed[server.ID]
 		old, known := v.servers[server.ID]
 		_, missing := v.missing[server.ID]
-		held, isPending := pending[server.ID]
+		prior, isPending := pending[server.ID]
 		switch {
-		case isPending && !contract.DifferentIncarnations(held.server.Born, server.Born):
-			v.relisted[server.ID] = relisted{server: server, until: held.until}
+		case isPending && !contract.DifferentIncarnations(prior.server.Born, server.Born):
+			v.relisted[server.ID] = relisted{server: server, until: prior.until}
 			continue
 		case !maybeOld:
 		case !lapsed && (missing || !known && hasLeft) && !contract.DifferentIncarnations(left.born, server.Born):
@@ -96,9 +96,9 @@
 // confirmRelisted returns the relisted servers that proved alive, and removes expired departures; mu is held.
 func (v *View) confirmRelisted(now time.Time) []contract.Server {
 	var alive []contract.Server
-	for id, held := range v.relisted {
-		if now.After(held.until) {
-			alive = append(alive, held.server)
+	for id, listed := range v.relisted {
+		if now.After(listed.until) {
+			alive = append(alive, listed.server)
 			delete(v.relisted, id)
 		}
 	}
--- a/discovery/view.go
+++ b/discovery/view.go
@@ -50,7 +50,7 @@
 	outageWindow = 3 * time.Second
 	// drainMargin is subtracted from Options.DrainTimeout, since a server's entry may disappear without being marked as leaving.
 	drainMargin = 500 * time.Millisecond
-	// drainFraction divides Options.DrainTimeout: changes of the list may be late by this part of it.
+	// drainFraction divides Options.DrainTimeout; the quotient is how late changes of the list may be.
 	drainFraction  = 5
 	minPollTimeout = time.Second
 )
--- a/discovery/view_test.go
+++ b/discovery/view_test.go
@@ -17,9 +17,9 @@
 
 // fakeSource returns what tests send on its channels; a call blocks until then or until its wait ends.
 type fakeSource struct {
-	declared chan response[Declared]
-	servers  chan response[Servers]
-	whole    int
+	declared  chan response[Declared]
+	servers   chan response[Servers]
+	fullReads int
 }
 
 type response[T any] struct {
@@ -44,7 +44,7 @@
 }
 
 func (s *fakeSource) Declared(ctx context.Context) (Declared, error) {
-	s.whole++
+	s.fullReads++
 	return receive(ctx, s.declared, time.Hour)
 }
 
@@ -115,8 +115,8 @@
 		s.declared <- response[Declared]{err: &HistoryGoneError{}}
 		s.declared <- response[Declared]{value: Declared{Config: config(2)}}
 		synctest.Wait()
-		if s.whole != 2 {
-			t.Errorf("%d full reads, want 2", s.whole)
+		if s.fullReads != 2 {
+			t.Errorf("%d full reads, want 2", s.fullReads)
 		}
 	})
 }
@@ -125,8 +125,8 @@
 	server := contract.Server{ID: "a", Service: "s", Address: "h:1"}
 	for name, test := range map[string]struct {
 		changes []Servers
-		// away makes a call fail before the last change.
-		away    bool
+		// outage makes a call fail before the last change.
+		outage  bool
 		after   time.Duration
 		listed  bool
 		missing bool
@@ -139,11 +139,11 @@
 			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, after: 2 * time.Second,
 		},
 		"gone after an outage has a longer grace": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, away: true, after: 2 * time.Second,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, outage: true, after: 2 * time.Second,
 			listed: true, missing: true,
 		},
 		"gone after an outage is gone after the longer grace": {
-			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, away: true, after: 3 * time.Second,
+			changes: []Servers{{Present: []contract.Server{server}}, {Removed: []string{"a"}}}, outage: true, after: 3 * time.Second,
 		},
 		"an undecodable entry is gone at once": {
 			changes: []Servers{{Present: []contract.Server{server}}, {Unreadable: []string{"a"}, Errors: []error{errors.New("no JSON")}}},
@@ -165,7 +165,7 @@
 		t.Run(name, func(t *testing.T) {
 			runFollowing(t, func(t *testing.T, v *View, s *fakeSource) {
 				for i, change := range test.changes {
-					if test.away && i == len(test.changes)-1 {
+					if test.outage && i == len(test.changes)-1 {
 						s.servers <- response[Servers]{err: errors.New("away")}
 					}
 					s.servers <- response[Servers]{value: change}
--- a/entry/boxes.go
+++ b/entry/boxes.go
@@ -178,12 +178,12 @@
 		return
 	}
 	defer conn.Close()
-	silence := time.AfterFunc(dialTimeout, conn.Close)
+	helloTimer := time.AfterFunc(dialTimeout, conn.Close)
 	if conn.Send(ctx, b.entry.hello()) != nil {
 		return
 	}
 	msg, err := conn.Receive()
-	silence.Stop()
+	helloTimer.Stop()
 	if err != nil {
 		return
 	}
@@ -199,13 +199,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, l := range b.allLinks() {
-		silent := now.Sub(l.heartbeatAt)
-		if silent > suspectAfter && b.anyAccepts(cfg, l.member.Service, now) {
+		silence := now.Sub(l.heartbeatAt)
+		if silence > suspectAfter && b.anyAccepts(cfg, l.member.Service, now) {
 			l.client.Abandon()
 		}
 		since, retired := b.retired[l]
 		finished := retired && now.Sub(since) > minRetireTime && l.client.InFlight() == 0
-		if silent > deadAfter || finished {
+		if silence > deadAfter || finished {
 			l.conn.Close()
 		}
 	}
--- a/entry/boxfixture_test.go
+++ b/entry/boxfixture_test.go
@@ -151,19 +151,19 @@
 func newTestEnv(t *testing.T, responders ...responder) *testEnv {
 	t.Helper()
 	checks := new(invariant.Recorder)
-	w := &testEnv{t: t, list: new(fakeList)}
-	w.entry = New(Config{ID: "e", Fleet: fakeFleet, Checks: checks, List: w.list, ListInterval: listInterval})
-	w.entry.follower.Update(fleet.Config{
+	env := &testEnv{t: t, list: new(fakeList)}
+	env.entry = New(Config{ID: "e", Fleet: fakeFleet, Checks: checks, List: env.list, ListInterval: listInterval})
+	env.entry.follower.Update(fleet.Config{
 		Fleet: fakeFleet, Revision: 1,
 		Services: map[string]fleet.Service{fakeService: {Name: fakeService, Kind: fleet.KindPlain}},
 	})
 	var members []membership.Member
 	for i, respond := range responders {
-		w.boxes = append(w.boxes, newFakeBox(t, string(rune('a'+i)), "1", respond))
-		members = append(members, w.boxes[i].member)
+		env.boxes = append(env.boxes, newFakeBox(t, string(rune('a'+i)), "1", respond))
+		members = append(members, env.boxes[i].member)
 	}
-	w.list.set(members...)
-	for _, part := range []func(context.Context) error{w.entry.members.Serve, w.entry.boxes.Serve, w.entry.serveQueues} {
+	env.list.set(members...)
+	for _, part := range []func(context.Context) error{env.entry.members.Serve, env.entry.boxes.Serve, env.entry.serveQueues} {
 		go func() { _ = part(t.Context()) }()
 	}
 	t.Cleanup(func() {
@@ -171,8 +171,8 @@
 			t.Error(broken)
 		}
 	})
-	w.waitFor(func() bool { return w.accepting() == len(responders) })
-	return w
+	env.waitFor(func() bool { return env.accepting() == len(responders) })
+	return env
 }
 
 func newFakeBox(t *testing.T, id, incarnation string, respond responder) *fakeBox {
@@ -188,31 +188,31 @@
 }
 
 // request sends a repeatable request and returns the response, also one that was interrupted.
-func (w *testEnv) request(timeout time.Duration) (got *httptest.ResponseRecorder) {
-	w.t.Helper()
+func (env *testEnv) request(timeout time.Duration) (got *httptest.ResponseRecorder) {
+	env.t.Helper()
 	got = httptest.NewRecorder()
 	defer func() {
 		if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 			panic(cause)
 		}
 	}()
-	w.entry.run(w.t.Context(), got, callerRequest{
-		id: "r", service: w.entry.follower.Config().Services[fakeService], method: http.MethodGet, path: "/",
+	env.entry.run(env.t.Context(), got, callerRequest{
+		id: "r", service: env.entry.follower.Config().Services[fakeService], method: http.MethodGet, path: "/",
 		header: http.Header{}, deadline: time.Now().Add(timeout), repeatable: true,
 	})
 	return got
 }
 
 // waitFor waits until a condition holds.
-func (w *testEnv) waitFor(holds func() bool) {
-	w.t.Helper()
+func (env *testEnv) waitFor(holds func() bool) {
+	env.t.Helper()
 	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(listInterval) {
 		if time.Now().After(deadline) {
-			w.t.Fatal("timed out waiting for a condition")
+			env.t.Fatal("timed out waiting for a condition")
 		}
 	}
 }
 
-func (w *testEnv) accepting() int {
-	return len(w.entry.boxes.candidates(w.entry.follower.Config().Services[fakeService], "", time.Now()))
+func (env *testEnv) accepting() int {
+	return len(env.entry.boxes.candidates(env.entry.follower.Config().Services[fakeService], "", time.Now()))
 }
--- a/entry/idempotency.go
+++ b/entry/idempotency.go
@@ -112,36 +112,36 @@
 }
 
 // Flush sends the buffer and turns buffering off.
-func (h *bufferedWriter) Flush() {
-	h.flush()
-	if f, ok := h.w.(http.Flusher); ok {
+func (b *bufferedWriter) Flush() {
+	b.flush()
+	if f, ok := b.w.(http.Flusher); ok {
 		f.Flush()
 	}
 }
 
 // Header returns the response's header.
-func (h *bufferedWriter) Header() http.Header { return h.w.Header() }
+func (b *bufferedWriter) Header() http.Header { return b.w.Header() }
 
 // Unwrap returns the underlying writer.
-func (h *bufferedWriter) Unwrap() http.ResponseWriter { return h.w }
+func (b *bufferedWriter) Unwrap() http.ResponseWriter { return b.w }
 
 // Write buffers or sends a part of the body.
-func (h *bufferedWriter) Write(body []byte) (int, error) {
-	if h.sent {
-		return h.w.Write(body)
+func (b *bufferedWriter) Write(body []byte) (int, error) {
+	if b.sent {
+		return b.w.Write(body)
 	}
-	h.body = append(h.body, body...)
+	b.body = append(b.body, body...)
 	return len(body), nil
 }
 
 // WriteHeader buffers the status.
-func (h *bufferedWriter) WriteHeader(status int) { h.status = status }
+func (b *bufferedWriter) WriteHeader(status int) { b.status = status }
 
-func (h *bufferedWriter) flush() {
-	if h.sent || h.status == 0 {
+func (b *bufferedWriter) flush() {
+	if b.sent || b.status == 0 {
 		return
 	}
-	h.sent = true
-	h.w.WriteHeader(h.status)
-	_, _ = h.w.Write(h.body)
+	b.sent = true
+	b.w.WriteHeader(b.status)
+	_, _ = b.w.Write(b.body)
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -9,8 +9,8 @@
 	"github.com/coralstair/coralstair/relay"
 )
 
-// A request that makes upstreams exit is quarantined, or each of its retries could bring down up to maxAttempts of them. This entry
-// does not share its records, so every entry that receives the request loses three upstreams.
+// A request that makes upstreams exit is quarantined; otherwise each try by its caller could end up to maxAttempts of them. Entries do
+// not share these records, so each entry that receives the request reaches the threshold on its own.
 
 // quarantinedError reports that a request is quarantined.
 type quarantinedError struct{}
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -21,9 +21,9 @@
 func TestEnginesEndUnderARequest(t *testing.T) {
 	t.Parallel()
 	var ends atomic.Int64
-	w := newTestEnv(t, exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends))
+	env := newTestEnv(t, exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends), exiting(&ends))
 	for n := range 4 {
-		got := w.request(testTimeout)
+		got := env.request(testTimeout)
 		want, outcome := http.StatusServiceUnavailable, "not-run"
 		if n == 0 {
 			want, outcome = http.StatusBadGateway, "unknown"
@@ -48,11 +48,11 @@
 		}
 		b.end(id, link.OutcomeUnknown)
 	}
-	w := newTestEnv(t, lose, lose, lose, lose)
-	w.request(testTimeout)
+	env := newTestEnv(t, lose, lose, lose, lose)
+	env.request(testTimeout)
 	recovered.Store(true)
 	for range 8 {
-		if got := w.request(testTimeout); got.Code == http.StatusOK {
+		if got := env.request(testTimeout); got.Code == http.StatusOK {
 			return
 		}
 	}
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -36,9 +36,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestEnv(t, responders...)
+			env := newTestEnv(t, responders...)
 			began := time.Now()
-			got := w.request(3 * time.Second)
+			got := env.request(3 * time.Second)
 			if got.Code != http.StatusOK || got.Body.String() != "hello" {
 				t.Errorf("status %d, body %q after %s", got.Code, got.Body, time.Since(began))
 			}
@@ -49,12 +49,12 @@
 // TestRefusingBoxIsNotRetriedWithoutUpdate checks that a box that refused gets no requests until it sends an update.
 func TestRefusingBoxIsNotRetriedWithoutUpdate(t *testing.T) {
 	t.Parallel()
-	w := newTestEnv(t, refuse, refuse)
-	got := w.request(300 * time.Millisecond)
+	env := newTestEnv(t, refuse, refuse)
+	got := env.request(300 * time.Millisecond)
 	if got.Code != http.StatusServiceUnavailable {
 		t.Errorf("status %d, body %q", got.Code, got.Body)
 	}
-	for i, b := range w.boxes {
+	for i, b := range env.boxes {
 		if n := b.requestCount(); n != 1 {
 			t.Errorf("box %d got %d requests, want 1", i, n)
 		}
--- a/entry/replaced_test.go
+++ b/entry/replaced_test.go
@@ -16,7 +16,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			started, finish := make(chan struct{}), make(chan struct{})
-			w := newTestEnv(t, func(b *fakeBox, n int, id uint64) {
+			env := newTestEnv(t, func(b *fakeBox, n int, id uint64) {
 				if n > 1 {
 					refuse(b, n, id)
 					return
@@ -29,16 +29,16 @@
 				b.end(id, link.OutcomeRan)
 			})
 			responses := make(chan *httptest.ResponseRecorder, 1)
-			go func() { responses <- w.request(testTimeout) }()
+			go func() { responses <- env.request(testTimeout) }()
 			<-started
 			next := newFakeBox(t, "a", "2", respondOK)
-			w.list.set(next.member)
-			w.waitFor(func() bool { return w.request(time.Second).Code == http.StatusOK && next.requestCount() > 0 })
+			env.list.set(next.member)
+			env.waitFor(func() bool { return env.request(time.Second).Code == http.StatusOK && next.requestCount() > 0 })
 			close(finish)
 			if got := <-responses; got.Code != http.StatusOK || got.Body.String() != "data: 1\n\ndata: 2\n\n" {
 				t.Errorf("status %d, body %q", got.Code, got.Body)
 			}
-			w.waitFor(w.boxes[0].linkEnded)
+			env.waitFor(env.boxes[0].linkEnded)
 		})
 	}
 }
--- a/entry/run.go
+++ b/entry/run.go
@@ -173,8 +173,8 @@
 	return &attempt{box: t.box, call: call, first: first, err: err}, nil
 }
 
-// recordFailure records a lost attempt, and counts it against the box unless the caller has disconnected. A request that did not run is
-// no failure.
+// recordFailure records a lost attempt, and counts it against the box unless the request was cancelled or its deadline has passed. A
+// request that did not run is no failure.
 func (t *task) recordFailure(ctx context.Context, err error) {
 	var notRunErr *relay.NotRunError
 	if errors.As(err, &notRunErr) {
--- a/entry/silence_test.go
+++ b/entry/silence_test.go
@@ -30,19 +30,19 @@
 // newSilentEnv returns an entry with a box that sends no heartbeats after its first, and one that opens a little later.
 func newSilentEnv(t *testing.T, silent responder) *testEnv {
 	t.Helper()
-	w := newTestEnv(t, silent, respondOK)
-	w.boxes[1].sendHeartbeat(false, false)
-	w.waitFor(func() bool { return w.accepting() == 1 })
-	time.AfterFunc(suspectAfter-time.Second, func() { w.boxes[1].sendHeartbeat(true, false) })
-	return w
+	env := newTestEnv(t, silent, respondOK)
+	env.boxes[1].sendHeartbeat(false, false)
+	env.waitFor(func() bool { return env.accepting() == 1 })
+	time.AfterFunc(suspectAfter-time.Second, func() { env.boxes[1].sendHeartbeat(true, false) })
+	return env
 }
 
 // TestSilentBoxKeepsRequestsWithoutAlternative checks that a request stays at a box without heartbeats while no other box serves it.
 func TestSilentBoxKeepsRequestsWithoutAlternative(t *testing.T) {
 	t.Parallel()
 	const pause = suspectAfter + time.Second
-	w := newTestEnv(t, respondAfter(pause))
-	if got := w.request(2 * pause); got.Code != http.StatusOK || got.Body.String() != "hello" {
+	env := newTestEnv(t, respondAfter(pause))
+	if got := env.request(2 * pause); got.Code != http.StatusOK || got.Body.String() != "hello" {
 		t.Errorf("status %d, body %q", got.Code, got.Body)
 	}
 }
@@ -50,8 +50,8 @@
 // TestSilentBoxRequestsMoveToAnother checks that a request moves to another box when its box stops sending heartbeats.
 func TestSilentBoxRequestsMoveToAnother(t *testing.T) {
 	t.Parallel()
-	w := newSilentEnv(t, respondAfter(time.Hour))
-	if got := w.request(2 * suspectAfter); got.Code != http.StatusOK || got.Body.String() != "hello" {
+	env := newSilentEnv(t, respondAfter(time.Hour))
+	if got := env.request(2 * suspectAfter); got.Code != http.StatusOK || got.Body.String() != "hello" {
 		t.Errorf("status %d, body %q", got.Code, got.Body)
 	}
 }
@@ -66,8 +66,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newSilentEnv(t, respondWithPause(test.kind, test.start, test.rest, pause))
-			got := w.request(2 * pause)
+			env := newSilentEnv(t, respondWithPause(test.kind, test.start, test.rest, pause))
+			got := env.request(2 * pause)
 			if got.Code != http.StatusOK || got.Body.String() != test.start+test.rest {
 				body := got.Body.Bytes()
 				t.Errorf("status %d, %d bytes, the last %q", got.Code, len(body), body[max(0, len(body)-200):])
--- a/link/conn.go
+++ b/link/conn.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// write writes one message, in pieces if it is a paced chunk.
+// write writes one message, in bursts if it is a paced chunk.
 func (c *Conn) write(data []byte, bulk bool) error {
 	// One timer per link is cheaper than a context per message.
 	c.writeTimer.Reset(writeTimeout)
@@ -251,7 +251,7 @@
 	read int
 }
 
-// Read reads up to one piece.
+// Read reads up to one burst of the pacer.
 func (p *pacedReader) Read(buf []byte) (int, error) {
 	if p.conn.pacer == nil {
 		return p.r.Read(buf)
--- a/link/daemon.go
+++ b/link/daemon.go
@@ -68,9 +68,9 @@
 	Config fleet.Config `cbor:"1,keyasint"`
 }
 
-// Report carries the state of a box's upstream to entries: the loaded Model and Version, its Running and Waiting requests,
-// whether it is Closing (refuses new requests for a short time), by which factor it is slower (Slowdown), and how many Entries
-// receive the report.
+// Report carries the state of a box's upstream to entries: the loaded Model and Version, its Running and Waiting requests, its Used
+// memory (in tokens that cannot be reclaimed), whether it is Closing (refuses new requests for a short time), by which factor it is
+// slower (Slowdown), and how many Entries receive the report.
 type Report struct {
 	Server   string  `cbor:"1,keyasint"`
 	Model    string  `cbor:"2,keyasint,omitempty"`
--- a/link/follow.go
+++ b/link/follow.go
@@ -17,8 +17,8 @@
 	Hosts []string `cbor:"1,keyasint,omitempty"`
 }
 
-// Declared carries the services of a configuration that a box needs: its own and the origins. Away says that the entry has lost the
-// store and ends its feed, so that the box must follow another entry.
+// Declared carries the services of a configuration that a box needs: its own and the origins. StoreLost says that the entry has lost
+// the store and ends its feed, so that the box must follow another entry.
 type Declared struct {
 	Revision  contract.Revision  `cbor:"1,keyasint,omitempty"`
 	Services  []contract.Service `cbor:"2,keyasint,omitempty"`
--- a/link/weights.go
+++ b/link/weights.go
@@ -21,7 +21,7 @@
 	Chunk    uint32 `cbor:"2,keyasint"`
 }
 
-// Chunk carries one chunk; Waited is how long its request was queued at the sender.
+// Chunk carries one chunk; QueuedFor is how long its request was queued at the sender.
 type Chunk struct {
 	Manifest  uint64        `cbor:"1,keyasint"`
 	Chunk     uint32        `cbor:"2,keyasint"`
--- a/peersource/source_test.go
+++ b/peersource/source_test.go
@@ -65,14 +65,14 @@
 	for name, test := range map[string]func(t *testing.T, store *countingStore, source *Source){
 		"with a feed the store is not called": func(t *testing.T, store *countingStore, source *Source) {
 			source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("a", "b")})
-			whole, err := source.Servers(t.Context())
-			if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
-				t.Fatalf("%v, %v", ids(whole.Present), err)
+			full, err := source.Servers(t.Context())
+			if err != nil || !slices.Equal(ids(full.Present), []string{"a", "b"}) {
+				t.Fatalf("%v, %v", ids(full.Present), err)
 			}
 			time.AfterFunc(time.Second, func() {
 				source.ApplyServers(&link.Servers{Present: serversWithIDs("c"), Gone: []string{"a"}})
 			})
-			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			changes, err := source.ServersAfter(t.Context(), full.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || !slices.Equal(changes.Removed, []string{"a"}) {
 				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
@@ -82,23 +82,23 @@
 		},
 		"without a feed the store is read after the timeout": func(t *testing.T, store *countingStore, source *Source) {
 			began := time.Now()
-			whole, err := source.Servers(t.Context())
-			if err != nil || !slices.Equal(ids(whole.Present), []string{"a"}) || store.reads != 1 {
-				t.Fatalf("%v, %v", ids(whole.Present), err)
+			full, err := source.Servers(t.Context())
+			if err != nil || !slices.Equal(ids(full.Present), []string{"a"}) || store.reads != 1 {
+				t.Fatalf("%v, %v", ids(full.Present), err)
 			}
 			if took := time.Since(began); took < entryTimeout || took > entryTimeout+entryTimeoutJitter {
 				t.Errorf("the store is read after %s", took)
 			}
 		},
 		"a call to the store is cancelled when a feed starts": func(t *testing.T, store *countingStore, source *Source) {
-			whole, err := source.Servers(t.Context())
+			full, err := source.Servers(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			time.AfterFunc(3*time.Second, func() {
 				source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
 			})
-			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			changes, err := source.ServersAfter(t.Context(), full.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"b"}) || !slices.Equal(changes.Removed, []string{"a"}) {
 				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
@@ -108,12 +108,12 @@
 		},
 		"the full list is read when the feed is lost": func(t *testing.T, _ *countingStore, source *Source) {
 			source.ApplyServers(&link.Servers{Reset: true, Present: serversWithIDs("b")})
-			whole, err := source.Servers(t.Context())
+			full, err := source.Servers(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			time.AfterFunc(time.Second, source.PeerLost)
-			changes, err := source.ServersAfter(t.Context(), whole.Cursor, 10*time.Second)
+			changes, err := source.ServersAfter(t.Context(), full.Cursor, 10*time.Second)
 			if err != nil || !slices.Equal(ids(changes.Present), []string{"a"}) || !slices.Equal(changes.Removed, []string{"b"}) {
 				t.Errorf("%v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 			}
@@ -168,12 +168,12 @@
 		store := &feedingStore{countingStore: countingStore{servers: discovery.Servers{Present: serversWithIDs("a", "b"), Cursor: discovery.Cursor{Position: 1}}}}
 		store.source = NewEntrySource(store, time.Second)
 		time.AfterFunc(500*time.Millisecond, func() { store.source.ApplyServers(&link.Servers{Present: serversWithIDs("c")}) })
-		whole, err := store.source.Servers(t.Context())
-		if err != nil || !slices.Equal(ids(whole.Present), []string{"a", "b"}) {
-			t.Errorf("full list %v, %v", ids(whole.Present), err)
+		full, err := store.source.Servers(t.Context())
+		if err != nil || !slices.Equal(ids(full.Present), []string{"a", "b"}) {
+			t.Errorf("full list %v, %v", ids(full.Present), err)
 		}
 		time.Sleep(time.Second)
-		changes, err := store.source.ServersAfter(t.Context(), whole.Cursor, time.Second)
+		changes, err := store.source.ServersAfter(t.Context(), full.Cursor, time.Second)
 		if err != nil || !slices.Equal(ids(changes.Present), []string{"c"}) || len(changes.Removed) > 0 {
 			t.Errorf("then %v, gone %v, %v", ids(changes.Present), changes.Removed, err)
 		}
@@ -193,12 +193,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				source := NewEntrySource(&countingStore{servers: discovery.Servers{Present: serversWithIDs("a")}}, time.Second)
 				source.SetShared(test.shared)
-				whole, err := source.Servers(t.Context())
+				full, err := source.Servers(t.Context())
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
-				if _, err := source.ServersAfter(t.Context(), whole.Cursor, 3*time.Second); err != nil {
+				if _, err := source.ServersAfter(t.Context(), full.Cursor, 3*time.Second); err != nil {
 					t.Fatal(err)
 				}
 				if took := time.Since(began); took != test.want {
@@ -249,9 +249,9 @@
 				if test.requested > 0 {
 					time.AfterFunc(test.requested, source.RequestFullRead)
 				}
-				whole, err := source.Servers(t.Context())
-				if err != nil || whole.Partial || !slices.Equal(ids(whole.Present), []string{"a", "b"}) || source.AwaitingFullList() {
-					t.Errorf("then %+v, %v", whole, err)
+				full, err := source.Servers(t.Context())
+				if err != nil || full.Partial || !slices.Equal(ids(full.Present), []string{"a", "b"}) || source.AwaitingFullList() {
+					t.Errorf("then %+v, %v", full, err)
 				}
 				if took := time.Since(began); took < test.earliest || took > test.latest || store.reads != test.read || store.partialReads != 1 {
 					t.Errorf("known after %s, want %s to %s; read %d times, want %d", took, test.earliest, test.latest, store.reads, test.read)
--- a/store/errors.go
+++ b/store/errors.go
@@ -13,7 +13,7 @@
 	return fmt.Sprintf("table %s: condition does not hold: %v", e.Call, e.Err)
 }
 
-// Unwrap returns the service's error.
+// Unwrap returns the cause.
 func (e *ConditionError) Unwrap() error { return e.Err }
 
 // UnavailableError reports that a call got no usable response; a write may or may not have taken effect.
