--- a/admission/policy.go
+++ b/admission/policy.go
@@ -42,25 +42,25 @@
 }
 
 // Record records a request's route, whose goal then limits the other routes too.
-func (p *Policy) Record(ask Request, now time.Time) {
+func (p *Policy) Record(req Request, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.routes, func(_ string, state routeState) bool { return now.Sub(state.lastSeen) > routeTTL })
 	if p.routes == nil {
 		p.routes = make(map[string]routeState)
 	}
-	p.routes[ask.Route] = routeState{goal: ask.Goal, lastSeen: now}
+	p.routes[req.Route] = routeState{goal: req.Goal, lastSeen: now}
 }
 
 // Admit reports whether to admit a request that would wait queueDelay; sinceFirst is the time since its first try, 0 for
 // a first try.
-func (p *Policy) Admit(ask Request, sinceFirst, queueDelay time.Duration) bool {
+func (p *Policy) Admit(req Request, sinceFirst, queueDelay time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sinceFirst > 0 {
-		return queueDelay <= p.maxDelay(ask, p.retryShare())
+		return queueDelay <= p.maxDelay(req, p.retryShare())
 	}
-	admitted := queueDelay <= p.maxDelay(ask, firstTryShare)
+	admitted := queueDelay <= p.maxDelay(req, firstTryShare)
 	refused := 1.0
 	if admitted {
 		refused = 0
@@ -83,8 +83,8 @@
 
 // maxDelay returns the longest queueing delay at which a request is admitted. It uses the tightest goal of all active routes,
 // so that a route with a tighter goal is not refused more often than the others; mu is held.
-func (p *Policy) maxDelay(ask Request, share float64) time.Duration {
-	tightest := ask.Goal
+func (p *Policy) maxDelay(req Request, share float64) time.Duration {
+	tightest := req.Goal
 	for _, state := range p.routes {
 		if state.goal > 0 {
 			tightest = min(tightest, state.goal)
--- a/admission/policy_test.go
+++ b/admission/policy_test.go
@@ -39,7 +39,7 @@
 func TestAdmit(t *testing.T) {
 	for name, test := range map[string]struct {
 		percent int
-		ask     Request
+		req     Request
 		since   time.Duration
 		delay   time.Duration
 		want    bool
@@ -59,7 +59,7 @@
 			var p Policy
 			p.Record(short, start)
 			refusePercent(&p, test.percent)
-			if got := p.Admit(test.ask, test.since, test.delay); got != test.want {
+			if got := p.Admit(test.req, test.since, test.delay); got != test.want {
 				t.Errorf("admitted %t, want %t; pressure %.3f", got, test.want, p.Pressure())
 			}
 		})
--- a/admission/retries.go
+++ b/admission/retries.go
@@ -23,8 +23,8 @@
 	Deadline    time.Time
 }
 
-// RetryDetector distinguishes retries from first tries by the refusals of this and other entries. The zero value is empty and safe for
-// concurrent use.
+// RetryDetector distinguishes retries from first tries by the refusals of this and other entries. The zero value is empty and
+// safe for concurrent use.
 type RetryDetector struct {
 	mu            sync.Mutex
 	byFingerprint map[uint64][]recordedRefusal
--- a/admission/retries_test.go
+++ b/admission/retries_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// refusedAt returns a refusal at start of a request whose first try was before that, with left until its deadline.
-func refusedAt(fingerprint uint64, before, left time.Duration) Refusal {
-	return Refusal{Fingerprint: fingerprint, FirstTry: start.Add(-before), Deadline: start.Add(left)}
+// refusedAt returns a refusal at start, given the time since the request's first try and until its deadline.
+func refusedAt(fingerprint uint64, sinceFirst, untilDeadline time.Duration) Refusal {
+	return Refusal{Fingerprint: fingerprint, FirstTry: start.Add(-sinceFirst), Deadline: start.Add(untilDeadline)}
 }
 
 func TestRetriesAreDetected(t *testing.T) {
 	refusal := refusedAt(7, ms(200), ms(5000))
 	for name, test := range map[string]struct {
-		refusals []Refusal
-		print    uint64
-		at, left time.Duration
-		want     bool
+		refusals    []Refusal
+		fingerprint uint64
+		at, left    time.Duration
+		want        bool
 	}{
 		"retry": {[]Refusal{refusal}, 7, ms(900), ms(4100), true},
 		"retry with slightly different network delay": {[]Refusal{refusal}, 7, ms(900), ms(4085), true},
@@ -35,11 +35,11 @@
 				r.Record(refusal, start)
 			}
 			now := start.Add(test.at)
-			first, ok := r.Match(test.print, now.Add(test.left), now)
+			first, ok := r.Match(test.fingerprint, now.Add(test.left), now)
 			if ok != test.want || ok && !first.Equal(refusal.FirstTry) {
 				t.Errorf("matched %t, first try at %s; want %t", ok, first.Sub(start), test.want)
 			}
-			if _, again := r.Match(test.print, now.Add(test.left), now); again {
+			if _, again := r.Match(test.fingerprint, now.Add(test.left), now); again {
 				t.Error("one refusal matched twice")
 			}
 		})
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// slots is the capacity of a box.
+// slots counts the free slots of a box.
 type slots struct {
 	mu   sync.Mutex
 	free int
--- a/claim/claims_test.go
+++ b/claim/claims_test.go
@@ -79,14 +79,14 @@
 				}
 			}
 			err := claims.Acquire(ctx, "team", "key", tc.second)
-			var held *claim.ClaimedError
+			var claimed *claim.ClaimedError
 			var mismatch *claim.MismatchError
 			switch {
 			case tc.runs && err != nil:
 				t.Errorf("error %v, want none", err)
 			case tc.reused && !errors.As(err, &mismatch):
 				t.Errorf("error %v, want a mismatch", err)
-			case tc.want != 0 && (!errors.As(err, &held) || held.Status != tc.want):
+			case tc.want != 0 && (!errors.As(err, &claimed) || claimed.Status != tc.want):
 				t.Errorf("error %v, want status %d", err, tc.want)
 			}
 		})
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -57,8 +57,8 @@
 // Error returns the request's ID.
 func (e *NotFoundError) Error() string { return "no line names request " + e.ID }
 
-// WriteTimeline writes a request's lines by time, and the lines with what its entry and boxes then knew, with their age at the end of
-// the request.
+// WriteTimeline writes a request's lines by time, and the lines with what its entry and boxes then knew, with their age at the
+// end of the request.
 func (l *Log) WriteTimeline(w io.Writer, id string) error {
 	slices.SortStableFunc(l.lines, func(a, b line) int { return a.at.Compare(b.at) })
 	var own []line
@@ -130,9 +130,9 @@
 		if server := ln.text("server"); server != "" {
 			servers[server] = true
 		}
-		tries, _ := ln.fields["tries"].([]any)
-		for _, try := range tries {
-			text, _ := try.(string)
+		attempts, _ := ln.fields["tries"].([]any)
+		for _, attempt := range attempts {
+			text, _ := attempt.(string)
 			server, _, _ := strings.Cut(text, " ")
 			servers[server] = true
 		}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -32,8 +32,8 @@
 			if err := l.Read(strings.NewReader(testLogs)); err != nil {
 				t.Fatal(err)
 			}
-			var story strings.Builder
-			err := l.WriteTimeline(&story, test.id)
+			var timeline strings.Builder
+			err := l.WriteTimeline(&timeline, test.id)
 			if test.want == nil {
 				if !errors.As(err, new(*NotFoundError)) {
 					t.Errorf("error %v, want a NotFoundError", err)
@@ -41,13 +41,13 @@
 				return
 			}
 			for _, want := range test.want {
-				if !strings.Contains(story.String(), want) {
-					t.Errorf("the story lacks %q:\n%s", want, story.String())
+				if !strings.Contains(timeline.String(), want) {
+					t.Errorf("the story lacks %q:\n%s", want, timeline.String())
 				}
 			}
 			for _, not := range test.wantNot {
-				if strings.Contains(story.String(), not) {
-					t.Errorf("the story contains %q:\n%s", not, story.String())
+				if strings.Contains(timeline.String(), not) {
+					t.Errorf("the story contains %q:\n%s", not, timeline.String())
 				}
 			}
 		})
--- a/internal/daemoncmd/role.go
+++ b/internal/daemoncmd/role.go
@@ -82,7 +82,7 @@
 	}), nil
 }
 
-// newOriginClient returns a client without keep-alive: the origin accepts fewer connections than there are boxes.
+// newOriginClient returns a client that keeps no idle connections: the origin accepts fewer connections than there are boxes.
 func newOriginClient() *http.Client {
 	client := newClient()
 	if transport, ok := client.Transport.(*http.Transport); ok {
--- a/invariant/recorder.go
+++ b/invariant/recorder.go
@@ -29,8 +29,8 @@
 }
 
 // Error returns a message with the invariant and the violation's details.
-func (b *Violation) Error() string {
-	return fmt.Sprintf("invariant %s broken: %s", b.Name, b.Detail)
+func (v *Violation) Error() string {
+	return fmt.Sprintf("invariant %s broken: %s", v.Name, v.Detail)
 }
 
 // Recorder counts, logs and collects violations. A nil Recorder only counts and logs.
--- a/keys/ring.go
+++ b/keys/ring.go
@@ -17,9 +17,9 @@
 const (
 	// RoleTeam may send requests for a team.
 	RoleTeam Role = "team"
-	// RoleRead may run queries.
+	// RoleRead may run queries and explain statements.
 	RoleRead Role = "read"
-	// RoleOperate may run queries and make decisions.
+	// RoleOperate may execute all statements.
 	RoleOperate Role = "operate"
 )
 
--- a/operate/errors.go
+++ b/operate/errors.go
@@ -8,7 +8,7 @@
 // Error returns the reason.
 func (e *RejectedError) Error() string { return e.Reason }
 
-// UnknownNameError reports a name in a statement that does not exist.
+// UnknownNameError reports that an object named in a statement does not exist.
 type UnknownNameError struct{ What, Name string }
 
 // Error returns the kind and the name.
--- a/operate/show.go
+++ b/operate/show.go
@@ -206,11 +206,11 @@
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
 // formatAge formats the age of a report in seconds.
-func formatAge(ago time.Duration) string {
-	if ago < 0 {
+func formatAge(age time.Duration) string {
+	if age < 0 {
 		return "never"
 	}
-	return strconv.FormatFloat(ago.Seconds(), 'f', 1, 64)
+	return strconv.FormatFloat(age.Seconds(), 'f', 1, 64)
 }
 
 func orDash(text string) string {
--- a/permit/download.go
+++ b/permit/download.go
@@ -26,12 +26,12 @@
 	Table  Table
 	Holder string
 
-	acquired atomic.Int64
+	attempts atomic.Int64
 }
 
 // Acquire acquires a permit for a group, trying number first before the others; ok is false if none is free.
 func (d *Downloads) Acquire(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error) {
-	holder := fmt.Sprintf("%s#%d", d.Holder, d.acquired.Add(1))
+	holder := fmt.Sprintf("%s#%d", d.Holder, d.attempts.Add(1))
 	for i := range swarm.MaxPermits {
 		number := (first + i) % swarm.MaxPermits
 		key := store.Key{
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -64,17 +64,17 @@
 	table := newTable(t)
 	a := &permit.Drains{Table: table, Fleet: "f", Holder: "a"}
 	b := &permit.Drains{Table: table, Fleet: "f", Holder: "b"}
-	slot, ok, err := a.Acquire(ctx, "s", 1)
+	lease, ok, err := a.Acquire(ctx, "s", 1)
 	if err != nil || !ok {
 		t.Fatalf("first lease: %v, %v", ok, err)
 	}
 	if _, ok, _ := b.Acquire(ctx, "s", 1); ok {
 		t.Error("two boxes hold a lease, want one")
 	}
-	if slot, err = a.Renew(ctx, slot); err != nil || slot.NeedsRenewal(time.Now()) {
+	if lease, err = a.Renew(ctx, lease); err != nil || lease.NeedsRenewal(time.Now()) {
 		t.Errorf("renewed lease is due, or error: %v", err)
 	}
-	if err := a.Release(ctx, slot); err != nil {
+	if err := a.Release(ctx, lease); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok, err := b.Acquire(ctx, "s", 1); err != nil || !ok {
--- a/pushback/limit.go
+++ b/pushback/limit.go
@@ -15,11 +15,11 @@
 	// sendWindow is how long after its scheduled time a request may still be sent. Unused sends are not saved up, so that
 	// callers do not send a burst after a pause.
 	sendWindow = time.Second
-	// maxInterval stands for never.
+	// maxInterval is the longest interval, and the delay of a caller without a share.
 	maxInterval = time.Hour
 )
 
-// Receipt says when a signal was received, and by which caller.
+// Receipt describes how one caller received a signal.
 type Receipt struct {
 	// Sent is when the request was sent whose response holds the signal, Received when that response arrived.
 	Sent, Received time.Time
@@ -41,20 +41,20 @@
 
 // With returns the limit after a signal. A signal that allows more applies only if its request was sent after the signal in
 // force was received: responses may arrive out of order.
-func (l Limit) With(signal Signal, by Receipt) Limit {
-	if l.active && (!signal.Limited || signal.Limit > l.rate) && by.Sent.Before(l.receivedAt) {
+func (l Limit) With(signal Signal, receipt Receipt) Limit {
+	if l.active && (!signal.Limited || signal.Limit > l.rate) && receipt.Sent.Before(l.receivedAt) {
 		return l
 	}
 	if !signal.Limited {
 		return Limit{}
 	}
-	every := interval(signal.Limit, by.Share)
-	wait := time.Duration(by.Phase * float64(every))
-	if old := interval(l.rate, by.Share); l.active && old > 0 {
+	every := interval(signal.Limit, receipt.Share)
+	wait := time.Duration(receipt.Phase * float64(every))
+	if old := interval(l.rate, receipt.Share); l.active && old > 0 {
 		// Keep the caller's position between two sends.
-		wait = time.Duration(float64(every) * min(1, max(0, l.nextSend.Sub(by.Received).Seconds()/old.Seconds())))
+		wait = time.Duration(float64(every) * min(1, max(0, l.nextSend.Sub(receipt.Received).Seconds()/old.Seconds())))
 	}
-	return Limit{active: true, rate: signal.Limit, receivedAt: by.Received, nextSend: by.Received.Add(wait)}
+	return Limit{active: true, rate: signal.Limit, receivedAt: receipt.Received, nextSend: receipt.Received.Add(wait)}
 }
 
 // Wait returns the delay until a request may be sent, 0 if it may be sent now.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -54,7 +54,7 @@
 func (l *Ledger) Replace(records Records, now time.Time) bool {
 	for _, key := range l.Keys() {
 		if !slices.ContainsFunc(records.Exits, func(e Exit) bool { return e.Key() == key }) &&
-			!slices.ContainsFunc(records.Responses, func(a Response) bool { return a.Key() == key }) {
+			!slices.ContainsFunc(records.Responses, func(r Response) bool { return r.Key() == key }) {
 			records.Removed = append(records.Removed, key)
 		}
 	}
@@ -72,8 +72,8 @@
 
 // Incarnations returns the server incarnations that exited with a request in flight and are not cleared by a later response.
 func (l *Ledger) Incarnations(request Fingerprint) []string {
-	answered := l.Response(request).Incarnations
-	return slices.DeleteFunc(slices.Sorted(slices.Values(l.incarnations[request])), func(incarnation string) bool { return slices.Contains(answered, incarnation) })
+	cleared := l.Response(request).Incarnations
+	return slices.DeleteFunc(slices.Sorted(slices.Values(l.incarnations[request])), func(incarnation string) bool { return slices.Contains(cleared, incarnation) })
 }
 
 // Exit returns an entry's record of an incarnation's exit, an empty one if there is none.
@@ -152,7 +152,7 @@
 	}
 }
 
-// Changes returns the records that changed since the versions in sent, and updates sent. Its keys are those of records.
+// Changes returns the records that changed since the versions in sent, by record key, and updates sent.
 func (l *Ledger) Changes(sent map[string]int) Records {
 	var records Records
 	for key := range sent {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// testPrint returns the fingerprint of a test request.
-func testPrint(name string) Fingerprint { return FingerprintOf("team", "POST", "h", "/"+name, nil) }
+// fingerprint returns the fingerprint of a test request.
+func fingerprint(name string) Fingerprint { return FingerprintOf("team", "POST", "h", "/"+name, nil) }
 
 // newExit returns the exit record of an incarnation with requests in flight.
 func newExit(incarnation, entry string, requests ...string) Exit {
 	exit := Exit{Incarnation: incarnation, Entry: entry}
 	for _, name := range requests {
-		exit.Requests = append(exit.Requests, testPrint(name))
+		exit.Requests = append(exit.Requests, fingerprint(name))
 	}
 	return exit
 }
@@ -63,13 +63,13 @@
 		"response after the exits": {
 			records: Records{
 				Exits:     []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")},
-				Responses: []Response{{Request: testPrint("x"), Incarnations: []string{"1", "2"}}},
+				Responses: []Response{{Request: fingerprint("x"), Incarnations: []string{"1", "2"}}},
 			},
 		},
 		"three more exits after a response": {
 			records: Records{
 				Exits:     []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x"), newExit("4", "b", "x")},
-				Responses: []Response{{Request: testPrint("x"), Incarnations: []string{"1"}}},
+				Responses: []Response{{Request: fingerprint("x"), Incarnations: []string{"1"}}},
 			},
 			quarantined: []string{"x"},
 		},
@@ -83,7 +83,7 @@
 				l.Merge(Records{Responses: test.records.Responses}, time.Now())
 				var quarantined []string
 				for _, name := range []string{"x", "y", "z"} {
-					if l.IsQuarantined(testPrint(name)) {
+					if l.IsQuarantined(fingerprint(name)) {
 						quarantined = append(quarantined, name)
 					}
 				}
@@ -120,12 +120,12 @@
 		}
 		l.Merge(Records{Exits: []Exit{newExit(fmt.Sprint("incarnation ", exit), "a", requests...)}}, time.Now())
 	}
-	if !l.IsQuarantined(testPrint("x")) {
+	if !l.IsQuarantined(fingerprint("x")) {
 		t.Error("the request in flight at every exit is not quarantined")
 	}
 	for n := range 60 {
-		if l.IsQuarantined(testPrint(strconv.Itoa(n))) {
-			t.Errorf("request %d is quarantined, in flight at %d of 40 exits", n, len(l.Incarnations(testPrint(strconv.Itoa(n)))))
+		if l.IsQuarantined(fingerprint(strconv.Itoa(n))) {
+			t.Errorf("request %d is quarantined, in flight at %d of 40 exits", n, len(l.Incarnations(fingerprint(strconv.Itoa(n)))))
 		}
 	}
 }
@@ -135,7 +135,7 @@
 	exits := []Exit{newExit("1", "a", "x"), newExit("2", "a", "x"), newExit("3", "a", "x")}
 	t.Run("removed records", func(t *testing.T) {
 		var l Ledger
-		if !l.Merge(Records{Exits: exits}, now) || l.Merge(Records{Removed: []string{exits[1].Key()}}, now) || l.IsQuarantined(testPrint("x")) {
+		if !l.Merge(Records{Exits: exits}, now) || l.Merge(Records{Removed: []string{exits[1].Key()}}, now) || l.IsQuarantined(fingerprint("x")) {
 			t.Error("the request is quarantined by a removed record")
 		}
 	})
@@ -143,8 +143,8 @@
 		var l Ledger
 		l.Merge(Records{Exits: exits}, now)
 		l.Replace(Records{Exits: exits[:2]}, now)
-		if l.IsQuarantined(testPrint("x")) || len(l.Keys()) != 2 {
-			t.Errorf("quarantined: %t, %d records, want 2", l.IsQuarantined(testPrint("x")), len(l.Keys()))
+		if l.IsQuarantined(fingerprint("x")) || len(l.Keys()) != 2 {
+			t.Errorf("quarantined: %t, %d records, want 2", l.IsQuarantined(fingerprint("x")), len(l.Keys()))
 		}
 	})
 	t.Run("records beyond the maximum", func(t *testing.T) {
@@ -156,8 +156,8 @@
 		l.Merge(Records{Exits: exits}, now)
 		l.Merge(Records{Exits: []Exit{newExit("4", "a", "y")}}, now)
 		l.Merge(records, now.Add(time.Second))
-		if !l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) > 0 || len(l.Keys()) != maxRecords {
-			t.Errorf("quarantined: %t, %d exits of another request, %d records, want %d", l.IsQuarantined(testPrint("x")), len(l.Incarnations(testPrint("y"))), len(l.Keys()), maxRecords)
+		if !l.IsQuarantined(fingerprint("x")) || len(l.Incarnations(fingerprint("y"))) > 0 || len(l.Keys()) != maxRecords {
+			t.Errorf("quarantined: %t, %d exits of another request, %d records, want %d", l.IsQuarantined(fingerprint("x")), len(l.Incarnations(fingerprint("y"))), len(l.Keys()), maxRecords)
 		}
 	})
 	t.Run("records of another entry", func(t *testing.T) {
@@ -165,12 +165,12 @@
 		l.Merge(Records{Exits: exits}, now)
 		l.Merge(Records{Exits: []Exit{newExit("2", "b", "x", "y")}}, now)
 		l.Merge(Records{Removed: []string{exits[1].Key()}}, now)
-		if !l.IsQuarantined(testPrint("x")) {
+		if !l.IsQuarantined(fingerprint("x")) {
 			t.Error("the request is no longer quarantined")
 		}
 		l.Merge(Records{Exits: []Exit{newExit("2", "b", "y")}}, now)
-		if l.IsQuarantined(testPrint("x")) || len(l.Incarnations(testPrint("y"))) != 1 {
-			t.Errorf("the request is quarantined by an exit it was not in flight at; %d exits of another request", len(l.Incarnations(testPrint("y"))))
+		if l.IsQuarantined(fingerprint("x")) || len(l.Incarnations(fingerprint("y"))) != 1 {
+			t.Errorf("the request is quarantined by an exit it was not in flight at; %d exits of another request", len(l.Incarnations(fingerprint("y"))))
 		}
 	})
 	t.Run("old records", func(t *testing.T) {
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -45,7 +45,7 @@
 	mu      sync.Mutex
 	ledger  Ledger
 	pending map[string]bool
-	// missing holds the keys of other entries' records that a restored store lacks and nobody has rewritten yet.
+	// missing holds the keys of records, except this entry's exits, that a restored store lacks and no entry has rewritten yet.
 	missing  map[string]bool
 	onChange func(added bool)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -164,12 +164,12 @@
 // recordExits records the exits of incarnations with a request in flight, at the entries in turn.
 func recordExits(request string, qs []*Quarantine, incarnations ...string) {
 	for i, incarnation := range incarnations {
-		qs[i%len(qs)].RecordExit(incarnation, []Fingerprint{testPrint(request)})
+		qs[i%len(qs)].RecordExit(incarnation, []Fingerprint{fingerprint(request)})
 	}
 }
 
 func (q *Quarantine) isQuarantined(request string) bool {
-	return q.Held(func() Fingerprint { return testPrint(request) })
+	return q.Held(func() Fingerprint { return fingerprint(request) })
 }
 
 // TestEntriesShareWhatEnds checks that exits recorded at different entries quarantine a request at all of them, also later
@@ -221,7 +221,7 @@
 		b, _ := startEntry(t, "b", store)
 		recordExits("x", []*Quarantine{a, b}, "1", "2", "3")
 		time.Sleep(time.Second)
-		a.RecordResponse(testPrint("x"))
+		a.RecordResponse(fingerprint("x"))
 		time.Sleep(time.Second)
 		if a.isQuarantined("x") || b.isQuarantined("x") {
 			t.Errorf("quarantined: %t, %t", a.isQuarantined("x"), b.isQuarantined("x"))
@@ -261,7 +261,7 @@
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
 		for _, request := range []string{"x", "y", "z"} {
-			a.RecordExit("1", []Fingerprint{testPrint(request)})
+			a.RecordExit("1", []Fingerprint{fingerprint(request)})
 			time.Sleep(5 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -279,10 +279,10 @@
 		store := newSharedStore()
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
-		a.RecordExit("1", []Fingerprint{testPrint("x")})
+		a.RecordExit("1", []Fingerprint{fingerprint("x")})
 		time.Sleep(time.Second)
 		store.update(func() { store.unavailable, store.writeDelay = true, 500*time.Millisecond })
-		a.RecordExit("1", []Fingerprint{testPrint("y")})
+		a.RecordExit("1", []Fingerprint{fingerprint("y")})
 		time.Sleep(100 * time.Millisecond)
 		// The entry receives its older record again, then an empty complete set.
 		a.Merge(Records{Exits: []Exit{newExit("1", "a", "x")}})
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -24,7 +24,7 @@
 func (e Exit) Key() string { return exitPrefix + e.Incarnation + "/" + e.Entry }
 
 // Key returns the key under which the record is stored.
-func (a Response) Key() string { return responsePrefix + a.Request.String() }
+func (r Response) Key() string { return responsePrefix + r.Request.String() }
 
 // Records are the records that entries exchange.
 type Records struct {
@@ -40,6 +40,6 @@
 // without returns the records except those with the given keys.
 func (r Records) without(keys []string) Records {
 	r.Exits = slices.DeleteFunc(slices.Clone(r.Exits), func(e Exit) bool { return slices.Contains(keys, e.Key()) })
-	r.Responses = slices.DeleteFunc(slices.Clone(r.Responses), func(a Response) bool { return slices.Contains(keys, a.Key()) })
+	r.Responses = slices.DeleteFunc(slices.Clone(r.Responses), func(response Response) bool { return slices.Contains(keys, response.Key()) })
 	return r
 }
--- a/quarantine/restore.go
+++ b/quarantine/restore.go
@@ -17,7 +17,7 @@
 )
 
 // mergeRestored merges the records of a store that was restored from a backup, and stores known records that it lacks:
-// this entry's own immediately, those of other entries after a delay, since their entries may no longer run.
+// this entry's exit records immediately, all others after a delay, since the entries that wrote them may no longer run.
 func (q *Quarantine) mergeRestored(ctx context.Context, records Records) {
 	q.mu.Lock()
 	own, others := q.missingFrom(records)
@@ -45,8 +45,8 @@
 	})
 }
 
-// missingFrom returns the keys of records that are missing or less complete in a restored store, this entry's own and those
-// of other entries; mu is held.
+// missingFrom returns the keys of records that are missing or less complete in a restored store: this entry's exit records,
+// and all others; mu is held.
 func (q *Quarantine) missingFrom(records Records) (own, others []string) {
 	var stored Ledger
 	stored.Merge(records, clock.Now())
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -83,7 +83,7 @@
 		a, _ := startEntry(t, "a", store)
 		time.Sleep(time.Second)
 		store.update(func() { store.writeDelay = 300 * time.Millisecond })
-		a.RecordExit("1", []Fingerprint{testPrint("x")})
+		a.RecordExit("1", []Fingerprint{fingerprint("x")})
 		time.Sleep(400 * time.Millisecond)
 		store.restore(func(string) bool { return true })
 		time.Sleep(2 * time.Second)
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -35,7 +35,7 @@
 	return quarantined
 }
 
-// attributed reports whether each incarnation exited with a quarantined request that has more exits than these.
+// attributed reports whether a request shares each of its exits with a quarantined request that has more exits.
 func attributed(exited []string, maxExits map[string]int) bool {
 	for _, incarnation := range exited {
 		if maxExits[incarnation] <= len(exited) {
--- a/report/line.go
+++ b/report/line.go
@@ -70,8 +70,8 @@
 	return l, nil
 }
 
-// Read adds the lines of a log; name identifies the log in faults. Unreadable lines are counted; a line longer than 1 MiB is
-// an error.
+// Read adds the lines of a log; name identifies the log in faults. Unreadable lines are counted; a line longer than
+// maxLineBytes is an error.
 func (r *Report) Read(name string, from io.Reader) error {
 	scanner := bufio.NewScanner(from)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
--- a/report/report.go
+++ b/report/report.go
@@ -59,20 +59,20 @@
 	targeted, held, running timeSpan
 }
 
-// timeSpan is the period and the number of a kind of event.
+// timeSpan is the number of events of a kind, and the times of the first and the last.
 type timeSpan struct {
 	first, last time.Time
 	n           int
 }
 
-func (b *timeSpan) add(at time.Time) {
-	if b.n == 0 || at.Before(b.first) {
-		b.first = at
+func (s *timeSpan) add(at time.Time) {
+	if s.n == 0 || at.Before(s.first) {
+		s.first = at
 	}
-	if at.After(b.last) {
-		b.last = at
+	if at.After(s.last) {
+		s.last = at
 	}
-	b.n++
+	s.n++
 }
 
 type daemonStats struct {
--- a/report/text.go
+++ b/report/text.go
@@ -120,11 +120,11 @@
 }
 
 // String formats the number, the first and the last time as columns.
-func (b timeSpan) String() string {
-	if b.n == 0 {
+func (s timeSpan) String() string {
+	if s.n == 0 {
 		return "0\t-\t-"
 	}
-	return fmt.Sprintf("%d\t%s\t%s", b.n, b.first.Format(time.TimeOnly), b.last.Format(time.TimeOnly))
+	return fmt.Sprintf("%d\t%s\t%s", s.n, s.first.Format(time.TimeOnly), s.last.Format(time.TimeOnly))
 }
 
 func (r *Report) writeDaemons(w io.Writer) {
--- a/route/health.go
+++ b/route/health.go
@@ -11,7 +11,7 @@
 	// ejectionTime is the duration of the first ejection; it doubles with each further one.
 	ejectionTime    = 2 * time.Second
 	maxEjectionTime = 30 * time.Second
-	// maxEjectedPercent is the most boxes of a service that may be ejected at a time.
+	// maxEjectedPercent is the largest percentage of a service's boxes that may be ejected at a time.
 	maxEjectedPercent = 50
 )
 
@@ -34,18 +34,18 @@
 	if h.boxes == nil {
 		h.boxes = make(map[string]*boxHealth)
 	}
-	r := h.boxes[id]
-	if r == nil {
-		r = &boxHealth{}
-		h.boxes[id] = r
+	box := h.boxes[id]
+	if box == nil {
+		box = &boxHealth{}
+		h.boxes[id] = box
 	}
-	r.failures++
-	if r.failures < failuresBeforeEjection {
+	box.failures++
+	if box.failures < failuresBeforeEjection {
 		return
 	}
-	r.failures = 0
-	r.ejectedUntil = now.Add(min(maxEjectionTime, ejectionTime<<min(r.ejections, 10)))
-	r.ejections++
+	box.failures = 0
+	box.ejectedUntil = now.Add(min(maxEjectionTime, ejectionTime<<min(box.ejections, 10)))
+	box.ejections++
 }
 
 // Succeeded records that a box served a request, which resets its failures and ejections.
@@ -61,7 +61,7 @@
 	defer h.mu.Unlock()
 	healthy := make([]Candidate, 0, len(candidates))
 	for _, c := range candidates {
-		if r := h.boxes[c.ID]; r == nil || !now.Before(r.ejectedUntil) {
+		if box := h.boxes[c.ID]; box == nil || !now.Before(box.ejectedUntil) {
 			healthy = append(healthy, c)
 		}
 	}
--- a/supervise/daemon.go
+++ b/supervise/daemon.go
@@ -21,12 +21,12 @@
 }
 
 // Serve implements suture.Service.
-func (p Component) Serve(ctx context.Context) error { return p.Run(ctx) }
+func (c Component) Serve(ctx context.Context) error { return c.Run(ctx) }
 
 // String returns the name for the log.
-func (p Component) String() string { return p.Name }
+func (c Component) String() string { return c.Name }
 
-// Daemon is an HTTP server and the components of a daemon.
+// Daemon is an HTTP server and the components that run beside it.
 type Daemon struct {
 	Name       string
 	Log        log.Interface
@@ -36,11 +36,11 @@
 }
 
 // Run runs components until ctx ends and restarts those that return early.
-func Run(ctx context.Context, name string, logger log.Interface, parts []Component) error {
+func Run(ctx context.Context, name string, logger log.Interface, components []Component) error {
 	d := &Daemon{Name: name, Log: logger}
 	tree := suture.New(name, suture.Spec{EventHook: d.logEvent})
-	for _, part := range parts {
-		tree.Add(part)
+	for _, component := range components {
+		tree.Add(component)
 	}
 	if err := tree.Serve(ctx); !errors.Is(err, context.Canceled) {
 		return err
