--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -42,28 +42,28 @@
 	before := x.linkBytes()
 	downloadedBefore := x.rig.Platform.Objects.DownloadedBytes()
 	x.startedAt = time.Now()
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, b := range boxes {
-		running.Go(func() {
+		wg.Go(func() {
 			if b.fetchAll(ctx, x.rig, manifest) {
 				b.done = time.Since(x.startedAt)
 			}
 		})
 	}
-	running.Wait()
+	wg.Wait()
 	x.baselineResult(boxes, before, downloadedBefore)
 	return x.result, nil
 }
 
 func (x *rollout) baselineBoxes() ([]*baselineBox, error) {
 	boxes := make([]*baselineBox, 0, len(x.rig.Boxes))
-	for i, each := range x.rig.Boxes {
+	for i, rigBox := range x.rig.Boxes {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		b := &baselineBox{box: each, store: weights.NewStore(0), address: listener.Addr().String()}
-		x.rig.serve(each.Link.Listener(listener), b)
+		b := &baselineBox{box: rigBox, store: weights.NewStore(0), address: listener.Addr().String()}
+		x.rig.serve(rigBox.Link.Listener(listener), b)
 		switch {
 		case x.cfg.Policy == PolicyTree && i > 0:
 			b.source = boxes[(i-1)/treeFanout]
--- a/lab/control.go
+++ b/lab/control.go
@@ -151,7 +151,7 @@
 	return 0, false
 }
 
-// countBehind counts the running boxes that have not reached a revision, and records every box whose revision decreased.
+// countBehind counts the boxes that have not reached a revision, and adds each decrease of a daemon's revision to the result.
 func (x *control) countBehind(revision fleet.Revision) int {
 	n := 0
 	for _, b := range x.rig.Boxes {
--- a/lab/drive.go
+++ b/lab/drive.go
@@ -195,18 +195,18 @@
 
 // calibrate measures the capacity in requests per second for the request mix, with one closed-loop caller per slot.
 func (d *drive) calibrate(ctx context.Context) float64 {
-	var done sync.WaitGroup
+	var wg sync.WaitGroup
 	deadline := time.Now().Add(calibrationTime)
 	begin := time.Now()
 	for worker := range d.cfg.Boxes * driveSlots {
 		rng := rand.New(rand.NewPCG(d.cfg.Seed, uint64(worker)+1))
-		done.Go(func() {
+		wg.Go(func() {
 			for n := 0; time.Now().Before(deadline); n++ {
 				d.chat(ctx, fmt.Sprintf("calibrate-%d-%d", worker, n), 0, worker%len(d.rig.Entries), randomTokens(rng), time.Now(), 0)
 			}
 		})
 	}
-	done.Wait()
+	wg.Wait()
 	answered := 0
 	for _, o := range d.outcomes {
 		if o.err == nil && o.answer.Status == http.StatusOK {
@@ -293,8 +293,8 @@
 }
 
 func (d *drive) hasFault(fault string) bool {
-	for _, each := range d.cfg.Faults {
-		if each == fault {
+	for _, configured := range d.cfg.Faults {
+		if configured == fault {
 			return true
 		}
 	}
--- a/lab/objects.go
+++ b/lab/objects.go
@@ -28,7 +28,7 @@
 	downloaded int64
 }
 
-// DownloadedBytes returns the bytes of chunks read so far.
+// DownloadedBytes returns the total size of the chunks requested so far.
 func (o *Objects) DownloadedBytes() int64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/lab/rollout.go
+++ b/lab/rollout.go
@@ -369,7 +369,7 @@
 	}
 }
 
-// liveLoad sends small chat requests while a rollout runs and checks the answers.
+// liveLoad sends small chat requests before and during a rollout and checks the answers.
 type liveLoad struct {
 	mu               sync.Mutex
 	idle             hdrhistogram.Histogram
--- a/lab/shortage/many_test.go
+++ b/lab/shortage/many_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestWideSpreadWithManyEntries checks that with many entries and late load reports, spreading choices over a longer window
-// than the age of the reports gains value.
+// TestWideSpreadWithManyEntries checks that with many entries, spreading choices over a longer window than the age of the
+// load reports gains value.
 func TestWideSpreadWithManyEntries(t *testing.T) {
 	const seeds, minGain = 3, 0.02
 	means := make(map[string]Mean)
--- a/lab/shortage/params.go
+++ b/lab/shortage/params.go
@@ -14,8 +14,7 @@
 
 const defaultTimeout = 6 * time.Second
 
-// DefaultParams returns a simulation of 12 servers and five entries; load 1 is 189 requests per second, above the
-// capacity.
+// DefaultParams returns a simulation of a few entries; the rates are multiplied by load, and load 1 is above the capacity.
 func DefaultParams(seed uint64, load float64) Params {
 	kinds := []Kind{
 		{Name: "long", Goal: 400 * time.Millisecond, Value: 2.5, Prompt: 1290, Answer: 144, Rate: 74},
@@ -29,8 +28,8 @@
 	return Params{Engine: defaultEngine, Servers: 12, Entries: 5, Duration: 30 * time.Second, Seed: seed, BurstFactor: 1, Kinds: kinds}
 }
 
-// ManyEntriesParams returns a simulation of 45 servers and 13 entries with varying caller timeouts; load 1 is 584 requests
-// per second, above the capacity.
+// ManyEntriesParams returns a simulation of many entries with varying caller timeouts; the rates are multiplied by load, and
+// load 1 is above the capacity.
 func ManyEntriesParams(seed uint64, load float64) Params {
 	engine := *defaultEngine
 	engine.Slots, engine.Stride = 12, 7
@@ -83,11 +82,11 @@
 		sum.maxValue += t.maxValue
 		sum.value += t.value
 	}
-	asked := float64(max(sum.Requests, 1)) * n
+	requests := float64(max(sum.Requests, 1)) * n
 	m.Value += sum.ValueRatio() / n
 	m.WorstValue += worst / n
-	m.InTime += float64(sum.InTime) / asked
-	m.Late += float64(sum.Late) / asked
-	m.Refused += float64(sum.Refused) / asked
-	m.RefusedAgain += float64(sum.RefusedAgain) / asked
+	m.InTime += float64(sum.InTime) / requests
+	m.Late += float64(sum.Late) / requests
+	m.Refused += float64(sum.Refused) / requests
+	m.RefusedAgain += float64(sum.RefusedAgain) / requests
 }
--- a/lab/shortage/simulation.go
+++ b/lab/shortage/simulation.go
@@ -38,7 +38,7 @@
 const (
 	// reportInterval is the interval at which entries receive the servers' loads.
 	reportInterval = 100 * time.Millisecond
-	// retryDelay and retryJitter are the delay of a refused caller's only retry.
+	// retryDelay is the least delay of a refused caller's only retry, retryJitter the bound of the random delay added to it.
 	retryDelay  = 400 * time.Millisecond
 	retryJitter = 900 * time.Millisecond
 	// lateValue is the fraction of a request's value for a late answer, refusedAgainCost the fraction lost by a second refusal.
--- a/lab/shortage/simulation_test.go
+++ b/lab/shortage/simulation_test.go
@@ -57,13 +57,13 @@
 }
 
 func TestRequestsDoNotDependOnTheStrategy(t *testing.T) {
-	asked := make(map[string]int)
+	requests := make(map[string]int)
 	for name, newStrategy := range Strategies {
 		for kind, tally := range Simulate(DefaultParams(7, 1), newStrategy) {
-			if n, known := asked[kind]; known && n != tally.Requests {
+			if n, known := requests[kind]; known && n != tally.Requests {
 				t.Errorf("%s: %d asked by %s, %d by another strategy", kind, tally.Requests, name, n)
 			}
-			asked[kind] = tally.Requests
+			requests[kind] = tally.Requests
 		}
 	}
 }
--- a/lab/shortage/strategy.go
+++ b/lab/shortage/strategy.go
@@ -99,7 +99,7 @@
 
 // admitAfter applies the policy to a request first tried a duration ago; 0 means a first try.
 func (s *admissionPolicy) admitAfter(e *contract.Engine, c *caller, p placement, waited, now time.Duration) bool {
-	ask := admission.Request{Route: c.kind.Name, Goal: c.kind.Goal}
-	s.policy.Record(ask, startTime.Add(now))
-	return s.policy.Admit(ask, waited, p.queueDelay(e, c.prompt))
+	request := admission.Request{Route: c.kind.Name, Goal: c.kind.Goal}
+	s.policy.Record(request, startTime.Add(now))
+	return s.policy.Admit(request, waited, p.queueDelay(e, c.prompt))
 }
--- a/lab/standin/caller.go
+++ b/lab/standin/caller.go
@@ -39,13 +39,13 @@
 }
 
 // Complete reports whether the response is a complete and valid success.
-func (a Response) Complete() bool {
-	return a.Status == http.StatusOK && a.Err == nil && a.Violation == ""
+func (r Response) Complete() bool {
+	return r.Status == http.StatusOK && r.Err == nil && r.Violation == ""
 }
 
 // Refused reports whether the status guarantees that the request did not run and never will.
-func (a Response) Refused() bool {
-	switch a.Status {
+func (r Response) Refused() bool {
+	switch r.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
 	}
@@ -53,8 +53,8 @@
 }
 
 // Denied reports whether the status says that the request is not allowed.
-func (a Response) Denied() bool {
-	return a.Status == http.StatusUnauthorized || a.Status == http.StatusForbidden || a.Status == http.StatusNotFound
+func (r Response) Denied() bool {
+	return r.Status == http.StatusUnauthorized || r.Status == http.StatusForbidden || r.Status == http.StatusNotFound
 }
 
 // CrashBody is the prefix of a request body that crashes every server that runs the request.
@@ -64,8 +64,8 @@
 const defaultBody = `{"soak":true}`
 
 // Send sends the request to an entry and validates the response.
-func (a Request) Send(ctx context.Context, client *http.Client, entry string) Response {
-	req, err := a.request(ctx, entry)
+func (r Request) Send(ctx context.Context, client *http.Client, entry string) Response {
+	req, err := r.request(ctx, entry)
 	if err != nil {
 		return Response{Err: err}
 	}
@@ -74,70 +74,70 @@
 		return Response{Err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return a.check(resp)
+	return r.check(resp)
 }
 
-func (a Request) request(ctx context.Context, entry string) (*http.Request, error) {
-	body := cmp.Or(a.Body, defaultBody)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+a.Path, io.NopCloser(strings.NewReader(body)))
+func (r Request) request(ctx context.Context, entry string) (*http.Request, error) {
+	body := cmp.Or(r.Body, defaultBody)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+r.Path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
 		return nil, err
 	}
 	req.ContentLength = int64(len(body))
-	req.Host = a.Host
-	req.Header.Set("X-Request-Id", a.ID)
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(a.Timeout.Milliseconds(), 10))
-	if a.Key != "" {
-		req.Header.Set("X-Key", a.Key)
+	req.Host = r.Host
+	req.Header.Set("X-Request-Id", r.ID)
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(r.Timeout.Milliseconds(), 10))
+	if r.Key != "" {
+		req.Header.Set("X-Key", r.Key)
 	}
-	if a.Model != "" {
-		req.Header.Set("X-Model", a.Model)
-		req.Header.Set("X-Token-Counts", fmt.Sprintf("%d,%d", a.PromptTokens, a.AnswerTokens))
+	if r.Model != "" {
+		req.Header.Set("X-Model", r.Model)
+		req.Header.Set("X-Token-Counts", fmt.Sprintf("%d,%d", r.PromptTokens, r.AnswerTokens))
 	}
 	return req, nil
 }
 
 // check reads and validates a response.
-func (a Request) check(resp *http.Response) Response {
-	answer := Response{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After"), ConnectionClose: resp.Close}
-	if id := resp.Header.Get("X-Request-Id"); id != a.ID {
-		answer.Violation = fmt.Sprintf("a response to request %q", id)
-		return answer
+func (r Request) check(resp *http.Response) Response {
+	result := Response{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After"), ConnectionClose: resp.Close}
+	if id := resp.Header.Get("X-Request-Id"); id != r.ID {
+		result.Violation = fmt.Sprintf("a response to request %q", id)
+		return result
 	}
-	server, ok := a.checkSeal(resp, &answer)
+	server, ok := r.checkSeal(resp, &result)
 	switch {
-	case answer.Violation != "" || !ok:
+	case result.Violation != "" || !ok:
 		_, _ = io.Copy(io.Discard, resp.Body)
-	case a.Model != "" && resp.StatusCode == http.StatusOK:
-		a.checkStream(resp, &answer)
+	case r.Model != "" && resp.StatusCode == http.StatusOK:
+		r.checkStream(resp, &result)
 	default:
 		body, err := io.ReadAll(resp.Body)
-		answer.Err = err
-		if err == nil && string(body) != PlainBody(a.ID, server) {
-			answer.Violation = "the body is not the complete body of the server"
+		result.Err = err
+		if err == nil && string(body) != PlainBody(r.ID, server) {
+			result.Violation = "the body is not the complete body of the server"
 		}
 	}
-	return answer
+	return result
 }
 
 // checkSeal validates the seal of a response and returns its server; ok is false without a seal.
-func (a Request) checkSeal(resp *http.Response, answer *Response) (server string, ok bool) {
+func (r Request) checkSeal(resp *http.Response, result *Response) (server string, ok bool) {
 	seal := resp.Header.Get("X-Server-Seal")
 	if seal == "" {
 		if resp.StatusCode/100 == 2 {
-			answer.Violation = "a success response without a seal"
+			result.Violation = "a success response without a seal"
 		}
 		return "", false
 	}
 	server, _, _ = strings.Cut(seal, ".")
-	if seal != Seal(server, a.ID, resp.StatusCode) {
-		answer.Violation = fmt.Sprintf("status %d with seal %s", resp.StatusCode, seal)
+	if seal != Seal(server, r.ID, resp.StatusCode) {
+		result.Violation = fmt.Sprintf("status %d with seal %s", resp.StatusCode, seal)
 	}
 	return server, true
 }
 
 // checkStream reads a stream and checks that each event comes once, in order and from one version.
-func (a Request) checkStream(resp *http.Response, answer *Response) {
+func (r Request) checkStream(resp *http.Response, result *Response) {
 	version, _ := strconv.ParseInt(resp.Header.Get("X-Weight-Versions"), 10, 64)
 	reader := bufio.NewReader(resp.Body)
 	n := 0
@@ -147,17 +147,17 @@
 			break
 		}
 		if err != nil {
-			answer.Err = err
+			result.Err = err
 			return
 		}
 		n++
-		if want := fmt.Sprintf("id: %d\ndata: %s\n\n", n, EventData(version, a.ID, n)); event != want {
-			answer.Violation = fmt.Sprintf("event %d of version %d is %q", n, version, event)
+		if want := fmt.Sprintf("id: %d\ndata: %s\n\n", n, EventData(version, r.ID, n)); event != want {
+			result.Violation = fmt.Sprintf("event %d of version %d is %q", n, version, event)
 			return
 		}
 	}
-	if n != EventCount(a.AnswerTokens) {
-		answer.Violation = fmt.Sprintf("the stream ended without an error after %d of %d events", n, EventCount(a.AnswerTokens))
+	if n != EventCount(r.AnswerTokens) {
+		result.Violation = fmt.Sprintf("the stream ended without an error after %d of %d events", n, EventCount(r.AnswerTokens))
 	}
 }
 
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -31,7 +31,7 @@
 	writeJSON(w, body)
 }
 
-// serveOrder accepts the order to load the staged pieces after the running requests have ended.
+// serveOrder accepts an order to load the staged pieces, which starts once the running requests have ended.
 func (s *Server) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		Op        string `json:"op"`
@@ -59,7 +59,7 @@
 	}
 }
 
-// checkStaged records staged pieces with wrong content, except recently corrupted ones; the caller holds mu.
+// checkStaged records a violation for each staged piece with wrong content unless it was corrupted recently; the caller holds mu.
 func (s *Server) checkStaged(version int64) {
 	for piece := range Pieces {
 		if bytes.Equal(s.staged[piece], Piece(version, piece)) || time.Since(s.corruptedAt[piece]) < corruptionGrace {
@@ -69,7 +69,7 @@
 	}
 }
 
-// load waits for the running requests to end, then makes the version the loaded one.
+// load waits for the running requests to end, then makes the version the loaded one unless the server has restarted.
 func (s *Server) load(version int64, start int) {
 	s.mu.Lock()
 	for s.running > 0 && s.starts == start {
--- a/lab/standin/restore.go
+++ b/lab/standin/restore.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// headerEpoch holds, in all responses of the store, how often it was restored from a copy.
+// headerEpoch is the header of all responses with the number of times that the store was restored from a backup.
 const headerEpoch = "Store-Era"
 
 // timedChange is a written or removed row with the time of the change.
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -51,7 +51,7 @@
 	changes     []Row
 	changed     chan struct{}
 	errorStatus int
-	// epoch counts restores from a copy; history holds all changes with their times.
+	// epoch counts restores from a backup; history holds all changes with their times.
 	epoch   int64
 	history []timedChange
 	// listBytes counts the bytes read from the list of servers.
--- a/lab/summary.go
+++ b/lab/summary.go
@@ -20,8 +20,8 @@
 		Policy: d.cfg.Policy, Faults: strings.Join(d.cfg.Faults, ","), Seed: d.cfg.Seed, Sent: len(d.outcomes),
 		CapacityRPS: capacity, InvariantsBroken: len(d.rig.Checks.Violations()),
 	}
-	for _, broken := range d.rig.Checks.Violations() {
-		result.Broken = append(result.Broken, broken.Error())
+	for _, violation := range d.rig.Checks.Violations() {
+		result.Broken = append(result.Broken, violation.Error())
 	}
 	runs := d.totalRuns()
 	all, first, refusals, gaps := newHistogram(), newHistogram(), newHistogram(), newHistogram()
--- a/lab/table.go
+++ b/lab/table.go
@@ -64,7 +64,7 @@
 	Code string
 }
 
-// Counts returns the number of rows read and written.
+// Counts returns the number of row reads and row writes; refused writes count too.
 func (t *Table) Counts() (reads, writes int64) {
 	return t.reads.Load(), t.writes.Load()
 }
@@ -191,9 +191,9 @@
 	}
 	reasons := make([]cancelReason, 0, len(req.TransactItems))
 	ok := true
-	for _, each := range req.TransactItems {
+	for _, write := range req.TransactItems {
 		reason := cancelReason{Code: "None"}
-		if !t.conditionHolds(each.Put) {
+		if !t.conditionHolds(write.Put) {
 			reason.Code = "ConditionalCheckFailed"
 			ok = false
 		}
@@ -202,8 +202,8 @@
 	if !ok {
 		return reasons, false
 	}
-	for _, each := range req.TransactItems {
-		t.store(each.Put.Item)
+	for _, write := range req.TransactItems {
+		t.store(write.Put.Item)
 	}
 	if t.tokens == nil {
 		t.tokens = make(map[string]bool)
--- a/soak/caller.go
+++ b/soak/caller.go
@@ -23,7 +23,7 @@
 	unknownKeyShare = 0.02
 )
 
-// requestKind says whether a request may be repeated.
+// requestKind is the kind of a request, which determines how its outcome is checked.
 type requestKind string
 
 const (
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -152,8 +152,8 @@
 
 // superseded reports whether a newer revision may already be in force at a time.
 func (c *checker) superseded(revision int64, by time.Time) bool {
-	return slices.ContainsFunc(c.rig.storeWrites, func(d storeWrite) bool {
-		return d.revision > revision && d.sent.Before(by.Add(2*time.Second))
+	return slices.ContainsFunc(c.rig.storeWrites, func(w storeWrite) bool {
+		return w.revision > revision && w.sent.Before(by.Add(2*time.Second))
 	})
 }
 
@@ -242,10 +242,10 @@
 	if sent < minRequests || float64(served) < minRecoveredShare*float64(sent) {
 		c.reportf("recovery: of %d requests after all faults had ended %d were served", sent, served)
 	}
-	late := c.recovery.target.acked.Add(bounds.Version)
+	deadline := c.recovery.target.acked.Add(bounds.Version)
 	for _, run := range c.runs {
-		if run.Version != 0 && run.Version < c.recovery.target.version && run.Began.After(late) {
-			c.reportf("version: %s started on version %d at %s, %s after the deadline", run.ID, run.Version, run.Server, run.Began.Sub(late))
+		if run.Version != 0 && run.Version < c.recovery.target.version && run.Began.After(deadline) {
+			c.reportf("version: %s started on version %d at %s, %s after the deadline", run.ID, run.Version, run.Server, run.Began.Sub(deadline))
 		}
 		if run.Server == c.recovery.leavingID && run.Began.After(c.recovery.drainedAt.Add(bounds.Drain)) {
 			c.reportf("leaving: %s started at %s %s after the server announced its leave", run.ID, run.Server, run.Began.Sub(c.recovery.drainedAt))
--- a/soak/deadly.go
+++ b/soak/deadly.go
@@ -36,16 +36,16 @@
 	all []crash
 }
 
-func (d *crashes) add(item crash) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.all = append(d.all, item)
+func (c *crashes) add(crashed crash) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.all = append(c.all, crashed)
 }
 
-func (d *crashes) list() []crash {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]crash(nil), d.all...)
+func (c *crashes) list() []crash {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]crash(nil), c.all...)
 }
 
 // crashOnDeadly makes deadly requests crash the server and restarts it after a delay.
@@ -110,7 +110,7 @@
 	}
 }
 
-// checkDeadly checks that a quarantined deadly request reaches no more servers and that others are served.
+// checkDeadly checks that a quarantined deadly request hardly reaches servers any more and that others are served.
 func (c *checker) checkDeadly() {
 	crashed, knownAt := make(map[string]int), make(map[string]time.Time)
 	for _, d := range c.crashes {
@@ -143,7 +143,7 @@
 	return false
 }
 
-// checkOthersServed checks that other requests are served in the last third of the run.
+// checkOthersServed checks that other requests are served in the last third of the fault period.
 func (c *checker) checkOthersServed(knownAt map[string]time.Time) {
 	if len(knownAt) == 0 {
 		return
--- a/soak/deadly_test.go
+++ b/soak/deadly_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// deadlySeeds are the seeds that run in CI.
+// deadlySeeds are the seeds of TestDeadlyRequests that run in CI.
 var deadlySeeds = []uint64{1}
 
 // TestDeadlyRequests guards against retries that carry a crashing request from server to server:
--- a/soak/fault.go
+++ b/soak/fault.go
@@ -36,16 +36,16 @@
 	all []faultSpan
 }
 
-func (s *faultLog) add(item faultSpan) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.all = append(s.all, item)
+func (l *faultLog) add(span faultSpan) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.all = append(l.all, span)
 }
 
-func (s *faultLog) list() []faultSpan {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]faultSpan(nil), s.all...)
+func (l *faultLog) list() []faultSpan {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]faultSpan(nil), l.all...)
 }
 
 // planFaults draws overlapping faults from the seed, some of them in series.
@@ -69,7 +69,7 @@
 	return append(plan, r.lostResponses())
 }
 
-// lostResponses makes a plain server drop responses to requests that must not be repeated; it is part of every run.
+// lostResponses makes a plain server drop responses, also to requests that must not be repeated; every fault plan has it.
 func (r *rig) lostResponses() fault {
 	s := r.plain[int(r.opts.Seed)%len(r.plain)]
 	return fault{
@@ -176,10 +176,10 @@
 // serverFaults are faulty responses, corrupt pieces and crashes of servers.
 func (r *rig) serverFaults(intN func(int) int) []func() fault {
 	servers := r.servers()
-	newFault := func(name string, harm standin.Faults) func() fault {
+	newFault := func(name string, faults standin.Faults) func() fault {
 		return func() fault {
 			s := servers[intN(len(servers))]
-			return fault{name: name + " " + s.Address, do: func() { s.SetFaults(harm) }, undo: func() { s.SetFaults(standin.Faults{}) }}
+			return fault{name: name + " " + s.Address, do: func() { s.SetFaults(faults) }, undo: func() { s.SetFaults(standin.Faults{}) }}
 		}
 	}
 	return []func() fault{
@@ -258,7 +258,7 @@
 }
 
 // run executes all faults of a plan at their times and returns after the last has ended.
-func (s *faultLog) run(plan []fault) {
+func (l *faultLog) run(plan []fault) {
 	began := time.Now()
 	var wg sync.WaitGroup
 	for _, f := range plan {
@@ -269,7 +269,7 @@
 			time.Sleep(f.duration)
 			f.undo()
 			span.to = time.Now()
-			s.add(span)
+			l.add(span)
 		})
 	}
 	wg.Wait()
--- a/soak/planned_test.go
+++ b/soak/planned_test.go
@@ -16,7 +16,7 @@
 // originRateKBps makes pieces download as slowly as those of large weights.
 const originRateKBps = 20
 
-// plannedSeeds are the seeds that run in CI.
+// plannedSeeds are the seeds of TestPlannedWork that run in CI.
 var plannedSeeds = []uint64{1, 2}
 
 // TestPlannedWork checks that no request is lost during planned operations without faults.
--- a/soak/process.go
+++ b/soak/process.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// wait records an unexpected exit.
+// wait waits for the exit and records it if it was not expected.
 func (p *process) wait(cmd *exec.Cmd, exited chan struct{}, out *os.File) {
 	err := cmd.Wait()
 	_ = out.Close()
--- a/soak/pushback.go
+++ b/soak/pushback.go
@@ -27,7 +27,7 @@
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
-	// reactionTime is how soon an entry must act on a signal that it has forwarded.
+	// reactionTime is how long an entry may take to act on a signal.
 	reactionTime = 500 * time.Millisecond
 	// pauseSlack is how many requests an entry may still send to a paused server.
 	pauseSlack = 2
@@ -35,11 +35,11 @@
 	pauseTime = 2 * time.Second
 	// minPushbackServedShare is the least fraction of requests served while servers send signals.
 	minPushbackServedShare = 0.9
-	// pushbackServerDivisor selects one of this many servers of a service to send signals.
+	// pushbackServerDivisor divides the number of a service's servers to get how many send signals.
 	pushbackServerDivisor = 3
 )
 
-// limitValues are the rate limits to draw from, in requests per second.
+// limitValues are the rate limits to choose from, in requests per second.
 var limitValues = []float64{0, 0.2, 1, 1.6, 4}
 
 // pushbackPlan makes servers send signals at overlapping times, while one entry is killed and one is stopped.
@@ -196,7 +196,7 @@
 	}
 }
 
-// checkLeaving checks that an entry sends nothing more to a server that announced its leave to it.
+// checkLeaving checks that an entry sends no new requests to a server once bounds.Drain has passed since its announced leave.
 func (c *checker) checkLeaving() {
 	reactBy := make(map[receiver]time.Time)
 	for _, s := range c.pushbacks {
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// restoreWeight is how many times a store restore is drawn for each draw of another kind.
+	// restoreWeight is how many times as likely a store restore is as one other kind of fault.
 	restoreWeight = 6
 	// The age of the backup, in ms.
 	minBackupAgeMS    = 500
@@ -24,24 +24,24 @@
 func (r *rig) restoreFault(intN func(int) int) func() fault {
 	return func() fault {
 		age := time.Duration(minBackupAgeMS+intN(backupAgeSpreadMS)) * time.Millisecond
-		late := time.Duration(intN(rewriteDelaySpreadMS)) * time.Millisecond
-		backwards := intN(2) == 0
+		delay := time.Duration(intN(rewriteDelaySpreadMS)) * time.Millisecond
+		reversed := intN(2) == 0
 		return fault{
-			name: fmt.Sprintf("store restored from a backup %s old, rows rewritten after %s", age, late),
+			name: fmt.Sprintf("store restored from a backup %s old, rows rewritten after %s", age, delay),
 			do:   func() { r.store.SetErrorStatus(http.StatusServiceUnavailable) },
-			undo: func() { r.restoreStore(age, late, backwards) },
+			undo: func() { r.restoreStore(age, delay, reversed) },
 		}
 	}
 }
 
 // restoreStore restores the store from a backup and rewrites the lost rows.
-func (r *rig) restoreStore(age, late time.Duration, backwards bool) {
+func (r *rig) restoreStore(age, delay time.Duration, reversed bool) {
 	r.mu.Lock()
 	lost := r.store.Restore(latest(time.Now().Add(-age), r.startedAt))
 	r.mu.Unlock()
 	r.store.SetErrorStatus(0)
-	time.Sleep(late)
-	if backwards {
+	time.Sleep(delay)
+	if reversed {
 		slices.Reverse(lost)
 	}
 	r.mu.Lock()
--- a/soak/rig.go
+++ b/soak/rig.go
@@ -131,12 +131,12 @@
 	return nil
 }
 
-func (r *rig) addHop(to **hop, name, from, at string) error {
-	h, err := newHop(name, from, at)
+func (r *rig) addHop(result **hop, name, from, to string) error {
+	h, err := newHop(name, from, to)
 	if err != nil {
 		return err
 	}
-	*to = h
+	*result = h
 	r.closers = append(r.closers, h.close)
 	return nil
 }
@@ -145,9 +145,9 @@
 func (r *rig) addServers() error {
 	var errs []error
 	for i := range r.opts.Boxes + r.opts.Plain {
-		group, n, service, runs := 2, i+1, modelService, int64(1)
+		group, n, service, version := 2, i+1, modelService, int64(1)
 		if i >= r.opts.Boxes {
-			group, n, service, runs = 3, i-r.opts.Boxes+1, plainService, 0
+			group, n, service, version = 3, i-r.opts.Boxes+1, plainService, 0
 		}
 		ip := r.ip(group, n)
 		s := &standin.Server{
@@ -164,7 +164,7 @@
 			r.plain = append(r.plain, s)
 		}
 		var h *hop
-		errs = append(errs, r.addHop(&h, "server-"+ip, hostPort(ip, hopPort), s.Listen), s.Start(runs))
+		errs = append(errs, r.addHop(&h, "server-"+ip, hostPort(ip, hopPort), s.Listen), s.Start(version))
 		r.serverHops = append(r.serverHops, h)
 		r.closers = append(r.closers, s.Crash)
 	}
@@ -208,7 +208,7 @@
 	return errors.Join(errs...)
 }
 
-func (r *rig) addDaemon(role string, i int, settings standin.Settings, to *[]*process) error {
+func (r *rig) addDaemon(role string, i int, settings standin.Settings, processes *[]*process) error {
 	name := fmt.Sprintf("%s-%d", role, i+1)
 	storeAt := hostPort(r.ip(4, len(r.storeHops)+1), storePort)
 	var h *hop
@@ -223,7 +223,7 @@
 		return err
 	}
 	p := &process{name: name, args: []string{r.opts.Daemon, role}, env: []string{standin.SettingsVariable + "=" + path}, log: r.opts.Dir}
-	*to = append(*to, p)
+	*processes = append(*processes, p)
 	r.closers = append(r.closers, p.kill)
 	return p.start()
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -150,15 +150,15 @@
 	sleep(ctx, bounds.Contact+2*settleTime)
 	faults.run([]fault{r.plannedStop()})
 	sleep(ctx, bounds.Contact)
-	c := recoveryPhase{from: time.Now()}
-	c.config = r.writeConfig()
-	c.target = r.writeTarget()
+	phase := recoveryPhase{from: time.Now()}
+	phase.config = r.writeConfig()
+	phase.target = r.writeTarget()
 	leaving := r.plain[0]
 	leaving.Drain()
-	c.leavingID, c.drainedAt = leaving.ID(), time.Now()
+	phase.leavingID, phase.drainedAt = leaving.ID(), time.Now()
 	sleep(ctx, bounds.Version+3*time.Second)
-	c.to = time.Now()
-	return c
+	phase.to = time.Now()
+	return phase
 }
 
 // plannedStop stops one entry and starts it again.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// restartSeeds are the seeds that run in CI.
+// restartSeeds are the seeds of TestLives that run in CI.
 var restartSeeds = []uint64{1}
 
 // TestLives checks the invariants while servers restart under the same ID and the list has malformed entries.
@@ -44,7 +44,7 @@
 	})
 }
 
-// storeRestoreSeeds are the seeds that run in CI.
+// storeRestoreSeeds are the seeds of TestCopies that run in CI.
 var storeRestoreSeeds = []uint64{1}
 
 // TestCopies checks the invariants while the store is restored from backups.
@@ -115,12 +115,12 @@
 		return result
 	}
 	t.Logf("faults:\n%s", strings.Join(result.Faults, "\n"))
-	for i, broken := range result.Violations {
+	for i, violation := range result.Violations {
 		if i == 20 {
 			t.Errorf("%d more violations", len(result.Violations)-i)
 			break
 		}
-		t.Error(broken)
+		t.Error(violation)
 	}
 	return result
 }
--- a/soak/storewrite.go
+++ b/soak/storewrite.go
@@ -7,7 +7,7 @@
 	"github.com/coralstair/coralstair/lab/standin"
 )
 
-// storeWrite is a write of a configuration or a version target, with its time.
+// storeWrite is a write of a configuration or a version target, with the times at which it was sent and acknowledged.
 type storeWrite struct {
 	revision int64
 	version  int64
@@ -24,11 +24,11 @@
 	defer r.mu.Unlock()
 	r.revision++
 	cfg := r.config()
-	d := storeWrite{revision: r.revision, sent: time.Now()}
+	w := storeWrite{revision: r.revision, sent: time.Now()}
 	r.store.Put(standin.TableDeclared, standin.KeyConfig, cfg)
-	d.acked = time.Now()
-	r.storeWrites = append(r.storeWrites, d)
-	return d
+	w.acked = time.Now()
+	r.storeWrites = append(r.storeWrites, w)
+	return w
 }
 
 // config returns the configuration of the newest revision; r.mu must be held.
@@ -76,13 +76,13 @@
 	defer r.mu.Unlock()
 	r.version++
 	r.origin.SetNewest(r.version)
-	d := storeWrite{version: r.version, sent: time.Now()}
+	w := storeWrite{version: r.version, sent: time.Now()}
 	if r.version > 1 {
 		r.store.Put(standin.TableDeclared, standin.KeyVersion+model, standin.Target{Model: model, Version: r.version})
 	}
-	d.acked = time.Now()
-	r.storeWrites = append(r.storeWrites, d)
-	return d
+	w.acked = time.Now()
+	r.storeWrites = append(r.storeWrites, w)
+	return w
 }
 
 // current returns the newest configuration revision and model version.
