--- a/balance/spread.go
+++ b/balance/spread.go
@@ -14,7 +14,7 @@
 }
 
 // Pick returns the index of a server and the expected number of other unreported requests there. It chooses a server with
-// the probability with which it would get one of sent.Over requests assigned greedily by cost, each adding addedCost;
+// the probability with which it would get one of sent.Window requests assigned greedily by cost, each adding addedCost;
 // choosing the cheapest server would overload it until the next report. random is in [0, 1).
 func Pick(costs []time.Duration, sent InFlight, addedCost time.Duration, random float64) (index int, others float64) {
 	chosen := Cheapest(costs)
--- a/bandwidth/doc.go
+++ b/bandwidth/doc.go
@@ -1,3 +1,2 @@
-// Package bandwidth gives requests priority on a box's link: chunks of weights wait for
-// the remaining bandwidth.
+// Package bandwidth gives requests priority on a box's link: chunks of weights wait for the remaining bandwidth.
 package bandwidth
--- a/box/backoff.go
+++ b/box/backoff.go
@@ -10,7 +10,7 @@
 // maxRetryAfter caps the Retry-After of an upstream.
 const maxRetryAfter = time.Hour
 
-// backoff is the time until which the upstream gets no requests; a zero backoff is over.
+// backoff is the time until which the upstream gets no requests; a zero backoff is not active.
 type backoff struct {
 	mu    sync.Mutex
 	until time.Time
--- a/box/gate.go
+++ b/box/gate.go
@@ -6,7 +6,7 @@
 	"github.com/coralstair/coralstair/invariant"
 )
 
-// ServedVersion is what a box serves: a version, its manifest's digest and the digest of the whole weights.
+// ServedVersion is what a box serves: a version, its manifest's digest and, as Whole, the digest of the whole weights.
 type ServedVersion struct {
 	Version string
 	Digest  string
--- a/box/loader.go
+++ b/box/loader.go
@@ -241,7 +241,7 @@
 	return true
 }
 
-// refreshState reads the upstream's state when it is old, stale or about to change.
+// refreshState reads the upstream's state when it is old or marked stale, and at each step while the upstream loads.
 func (l *loader) refreshState(ctx context.Context) {
 	stale := l.clearStateStale()
 	loading := l.state.Phase == upstream.PhaseLoading
--- a/box/peers.go
+++ b/box/peers.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// Serve opens the links that are needed, and closes own idle ones, until ctx ends.
+// Serve opens the links that are needed, and closes idle ones that this box opened, until ctx ends.
 func (p *peers) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(peersInterval)
 	defer ticker.Stop()
--- a/box/phase_test.go
+++ b/box/phase_test.go
@@ -83,9 +83,9 @@
 	}
 	v1, v2 := ServedVersion{Digest: "1"}, ServedVersion{Digest: "2"}
 	g.Open(v1, checks)
-	offer, _, ok := g.Acquire(1)
-	if !ok || offer != v1 {
-		t.Fatalf("admitted %v to %+v", ok, offer)
+	served, _, ok := g.Acquire(1)
+	if !ok || served != v1 {
+		t.Fatalf("admitted %v to %+v", ok, served)
 	}
 	if _, _, ok := g.Acquire(1); ok {
 		t.Error("admitted beyond the slots")
--- a/box/session.go
+++ b/box/session.go
@@ -152,7 +152,7 @@
 	return slots + (slots+overcommitDivisor-1)/overcommitDivisor
 }
 
-// overcommitDivisor divides the slots into the part by which they may be exceeded.
+// overcommitDivisor is the inverse of the fraction by which the slots may be exceeded.
 const overcommitDivisor = 4
 
 // serveRequest runs one request at the upstream, if the box serves what it asks for.
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine predicts how long a model engine takes for a request: the time to its first event, and the pauses between
-// events. It keeps no state; callers pass the engine's parameters and the load.
+// Package engine predicts how long a model engine takes for a request: the time to its first event and the time to
+// decode the rest. It keeps no state; callers pass the engine's parameters and the load.
 package engine
--- a/fill/box.go
+++ b/fill/box.go
@@ -22,8 +22,8 @@
 
 const (
 	headerTimeout = 5 * time.Second
-	// pieceLinkPercent is the share of the link that pieces may use; small stream events wait behind at most one
-	// part of a piece.
+	// pieceLinkPercent is the percentage of the link that pieces may use while the server has requests; the events of
+	// streams wait behind at most one burst of a piece.
 	pieceLinkPercent = 93
 	// siblingsMaxAge bounds the age of the cached siblings while the view is unchanged.
 	siblingsMaxAge = 500 * time.Millisecond
--- a/fill/engine.go
+++ b/fill/engine.go
@@ -14,7 +14,7 @@
 	// Busy says that an order is in progress; Seq counts the orders accepted.
 	Busy bool
 	Seq  int64
-	// StartedAt is when the server started, in Unix milliseconds by its clock; 0 where it is not reported.
+	// Born is when the server started, in Unix milliseconds by its clock; 0 where it is not reported.
 	Born    int64
 	Waiting int
 	Running int
--- a/fill/fetch.go
+++ b/fill/fetch.go
@@ -46,21 +46,21 @@
 // no neighbour sent it in time. It reports whether the manifest is known already.
 func (b *Box) ensureManifest(u *update) bool {
 	b.mu.Lock()
-	have, asking := u.manifest != nil, u.downloadingManifest
+	known, downloading := u.manifest != nil, u.downloadingManifest
 	b.mu.Unlock()
-	if have {
+	if known {
 		return true
 	}
 	members := b.siblings()
-	homes := swarm.NewOrder(u.model, 1, members).Gateways(0)
-	b.links.ensureLinks(u.ctx, append(b.sitePeers(homes), swarm.Neighbours(b.self(), members)...))
+	gateways := swarm.NewOrder(u.model, 1, members).Gateways(0)
+	b.links.ensureLinks(u.ctx, append(b.sitePeers(gateways), swarm.Neighbours(b.self(), members)...))
 	b.links.rejoin(u)
 	wait := neighbourManifestWait
-	if slices.Contains(homes, b.self()) {
+	if slices.Contains(gateways, b.self()) {
 		wait = 0
 	}
 	origin := b.origin()
-	if asking || clock.Since(u.startedAt) < wait || origin == nil {
+	if downloading || clock.Since(u.startedAt) < wait || origin == nil {
 		return false
 	}
 	b.mu.Lock()
--- a/fill/fill_test.go
+++ b/fill/fill_test.go
@@ -12,8 +12,8 @@
 	s := newSite(t, 6, 4*time.Second)
 	s.startAll(1)
 	s.waitLoaded(1, loadTimeLimit)
-	if drawn := s.origin.downloaded(1); drawn > testPieces+testPieces/2 {
-		t.Errorf("%d pieces downloaded for six boxes, want about %d", drawn, testPieces)
+	if downloads := s.origin.downloaded(1); downloads > testPieces+testPieces/2 {
+		t.Errorf("%d pieces downloaded for six boxes, want about %d", downloads, testPieces)
 	}
 }
 
@@ -29,8 +29,8 @@
 	time.Sleep(500 * time.Millisecond)
 	s.start(3, 1)
 	s.waitLoaded(1, loadTimeLimit)
-	if drawn := s.origin.downloaded(1); drawn != 0 {
-		t.Errorf("%d pieces downloaded though three neighbours hold all", drawn)
+	if downloads := s.origin.downloaded(1); downloads != 0 {
+		t.Errorf("%d pieces downloaded though three neighbours hold all", downloads)
 	}
 }
 
@@ -40,8 +40,8 @@
 	s.engines[0].stageVersion(1)
 	s.start(0, 1)
 	s.waitLoaded(1, loadTimeLimit)
-	if drawn := s.origin.downloaded(1); drawn != 0 {
-		t.Errorf("%d pieces downloaded though the server holds all", drawn)
+	if downloads := s.origin.downloaded(1); downloads != 0 {
+		t.Errorf("%d pieces downloaded though the server holds all", downloads)
 	}
 }
 
--- a/fill/links.go
+++ b/fill/links.go
@@ -313,7 +313,8 @@
 }
 
 // announcePiece announces a new piece to boxes of this site not known to hold it, and to other sites if this box downloads it
-// from the origin for them; it cancels the request to the box that was asked in vain.
+// from the origin for them; a complete version is announced to all. It cancels the request to the box in asked, which has not
+// sent the piece.
 func (ls *links) announcePiece(u *update, piece int, asked string, complete, downloader bool) {
 	in := ls.inboundBoxes()
 	ls.sendCancel(u, asked, piece)
--- a/fill/loader.go
+++ b/fill/loader.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// drainNotice is how long entries are notified that the server drains before its load order is sent, also when its turn has
-	// passed: the server refuses requests that arrive after the order or still wait then.
+	// drainNotice is how long before its load order entries are notified that the server drains, also when its turn has
+	// passed: the server refuses requests that arrive after the order or are still queued then.
 	drainNotice = 120 * time.Millisecond
 	// orderRetryDelay is the pause after an order that was refused or not answered.
 	orderRetryDelay = 200 * time.Millisecond
--- a/fill/piece.go
+++ b/fill/piece.go
@@ -116,21 +116,21 @@
 // when the piece is held already.
 func (b *Box) storePiece(u *update, piece int, data []byte) (isNew bool, err error) {
 	b.mu.Lock()
-	current := b.active == u && u.feed != nil
-	if current && u.feed.Holds(piece) {
+	wanted := b.active == u && u.feed != nil
+	if wanted && u.feed.Holds(piece) {
 		piecesDuplicate.Inc()
-		current = false
+		wanted = false
 	}
 	buffer := b.pending != nil
-	if current && buffer {
+	if wanted && buffer {
 		if u.buffered == nil {
 			u.buffered = make(map[int][]byte)
 		}
 		u.buffered[piece] = data
 	}
 	b.mu.Unlock()
-	if !current || buffer {
-		return current, nil
+	if !wanted || buffer {
+		return wanted, nil
 	}
 	ctx, cancel := context.WithTimeout(u.ctx, stageTimeout)
 	defer cancel()
--- a/fill/relay.go
+++ b/fill/relay.go
@@ -66,7 +66,7 @@
 	return ls.relay == l
 }
 
-// handleDeclared passes on configuration from the relay, and chooses another relay if this one lost the store.
+// handleDeclared applies the configuration that the relay sends, and chooses another relay if this one lost the store.
 func (l *inboundLink) handleDeclared(m *link.Declared) {
 	switch {
 	case !l.links.isRelay(l):
@@ -80,7 +80,7 @@
 	}
 }
 
-// handleServers passes on the list of servers from the relay.
+// handleServers applies the list of servers that the relay sends.
 func (l *inboundLink) handleServers(m *link.Servers) {
 	if l.links.isRelay(l) {
 		l.links.box.cfg.PeerSource.ApplyServers(m)
--- a/fill/reporter.go
+++ b/fill/reporter.go
@@ -133,8 +133,8 @@
 	return report, true
 }
 
-// reportedTurn returns the time until a load turn as reported; 0 while it is far off. A turn that has passed is not reported
-// as 0, since entries would assume that the server stays open longest.
+// reportedTurn returns the time until a load turn as reported; 0 while it is far off. A turn that is due or has passed
+// is reported as turnResolution: with 0, entries would assume that the server stays open longest.
 func reportedTurn(left time.Duration) time.Duration {
 	if left >= turnHorizon {
 		return 0
--- a/fill/restart.go
+++ b/fill/restart.go
@@ -28,8 +28,8 @@
 	b.log.WithFields(log.Fields{"born": next.Born, "seq": next.Seq}).Warn("fill: the server has started again")
 }
 
-// relistPieces has the pieces that a restarted server no longer holds fetched again: they survive a crash, but not a power
-// loss.
+// relistPieces lists the pieces staged at a restarted server, so that missing ones are fetched again: staged pieces survive a
+// crash, but not a power loss.
 func (b *Box) relistPieces(ctx context.Context, u *update) {
 	b.mu.Lock()
 	due := b.needsRelist && u.feed != nil
--- a/fill/target.go
+++ b/fill/target.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// defaultFetchTime is how long fetching a whole version takes when the origin's link rate is unknown;
+	// defaultFetchTime is the assumed time to fetch a whole version when the origin's link rate is unknown;
 	// finishTimeout bounds how long an older version may still take once a newer one is named.
 	defaultFetchTime = 2200 * time.Millisecond
 	finishTimeout    = 4 * time.Second
@@ -64,9 +64,9 @@
 	return u
 }
 
-// finishOldFirst reports whether an older version is finished before a newer one is started: it should be
-// fetched whole by now, and servers can run it if the origin fails. All boxes reach the same result, since it depends
-// only on when the versions were named.
+// finishOldFirst reports whether an incomplete older version is finished before a newer one is started: enough time has passed
+// since it was named to download it whole, and servers can run it if the origin fails. The times compared are when versions
+// were named, so that all boxes agree.
 func (b *Box) finishOldFirst(old *update, target contract.Version) bool {
 	newest, named := b.cfg.View.Target(old.model)
 	if newest != target || old.namedAt.IsZero() || old.feed == nil || old.feed.Complete() || b.state.Loaded[old.model] >= old.version {
@@ -94,7 +94,8 @@
 	old.cancel()
 }
 
-// finishUpdate ends the server's turn and closes idle links once it runs the version; the box goes on uploading pieces.
+// finishUpdate ends the turn of a server that runs the version, and closes idle links; it still ensures the manifest, since the
+// box goes on uploading pieces.
 func (b *Box) finishUpdate(u *update) {
 	b.mu.Lock()
 	b.clearTurn()
--- a/fill/turn_test.go
+++ b/fill/turn_test.go
@@ -7,11 +7,11 @@
 
 func TestTurns(t *testing.T) {
 	named := time.Unix(100, 0)
-	due := named.Add(8 * time.Second)
+	deadline := named.Add(8 * time.Second)
 	var last time.Time
 	for rank := range 20 {
-		turn := Turn(named, due, rank, 20)
-		if turn.Before(named.Add(usualFetchTime)) || turn.After(due.Add(-loadMargin)) || turn.Before(last) {
+		turn := Turn(named, deadline, rank, 20)
+		if turn.Before(named.Add(usualFetchTime)) || turn.After(deadline.Add(-loadMargin)) || turn.Before(last) {
 			t.Errorf("turn %d comes %s after the version was named", rank, turn.Sub(named))
 		}
 		last = turn
--- a/fill/uploader.go
+++ b/fill/uploader.go
@@ -27,7 +27,7 @@
 	// loadPlace sorts boxes by when their servers load; queuedAt is when the request was queued.
 	loadPlace uint64
 	queuedAt  time.Time
-	// uploadedBefore is the total time of uploads to the box when it sent the request.
+	// uploadedBefore is the total time of uploads to the box when the request was queued.
 	uploadedBefore time.Duration
 }
 
--- a/fill/uploader_test.go
+++ b/fill/uploader_test.go
@@ -9,21 +9,21 @@
 func TestWaitedCountsOthersOnly(t *testing.T) {
 	const other, own = 300 * time.Millisecond, 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		g := &uploader{wakeup: make(chan struct{}, 1)}
+		up := &uploader{wakeup: make(chan struct{}, 1)}
 		slow, quick := &inboundLink{}, &inboundLink{}
-		g.add(pieceRequest{link: quick, piece: 1})
-		g.add(pieceRequest{link: slow, piece: 2})
-		g.add(pieceRequest{link: slow, piece: 3})
+		up.add(pieceRequest{link: quick, piece: 1})
+		up.add(pieceRequest{link: slow, piece: 2})
+		up.add(pieceRequest{link: slow, piece: 3})
 		for i, want := range []time.Duration{0, other, other} {
-			next, ok := g.dequeue()
+			next, ok := up.dequeue()
 			if !ok {
 				t.Fatal("no request is queued")
 			}
-			if waited := g.startUpload(next); waited != want {
+			if waited := up.startUpload(next); waited != want {
 				t.Errorf("piece %d waited %s for other boxes, want %s", next.piece, waited, want)
 			}
 			time.Sleep([]time.Duration{other, own, own}[i])
-			g.endUpload(next)
+			up.endUpload(next)
 		}
 	})
 }
@@ -39,8 +39,8 @@
 		"first request of a box":  {[]pieceRequest{{piece: 4, loadPlace: 3}, {piece: 6, loadPlace: 3}}, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := &uploader{queue: test.queue}
-			if next, ok := g.dequeue(); !ok || next.piece != test.want {
+			up := &uploader{queue: test.queue}
+			if next, ok := up.dequeue(); !ok || next.piece != test.want {
 				t.Errorf("uploads piece %d, want %d", next.piece, test.want)
 			}
 		})
--- a/swarm/choose.go
+++ b/swarm/choose.go
@@ -92,7 +92,7 @@
 	return n.copies[chunk] == 0 && (n.planned(rank) || n.rankDue(rank, now))
 }
 
-// knowsHoldings reports whether a linked peer has announced its chunks, there are no others, or RankDelay has passed.
+// knowsHoldings reports whether a linked peer has announced its chunks, this box is the only member, or RankDelay has passed.
 // Otherwise a replaced box would download chunks that its neighbours hold, also while a link is being replaced.
 func (n *Node) knowsHoldings(now time.Time) bool {
 	if len(n.order.members) < 2 || now.Sub(n.started) >= n.params.RankDelay {
@@ -172,7 +172,7 @@
 // gateway, and of those whose gateway has not delivered in time.
 func (n *Node) CrossSitePeers(now time.Time) []Member {
 	seen := make(map[string]bool)
-	var links []Member
+	var sources []Member
 	for group := range n.order.Groups() {
 		if n.groupHeld(group) {
 			continue
@@ -183,11 +183,11 @@
 		for _, member := range n.order.Sources(group, n.params.Self.Site) {
 			if !seen[member.ID] {
 				seen[member.ID] = true
-				links = append(links, member)
+				sources = append(sources, member)
 			}
 		}
 	}
-	return links
+	return sources
 }
 
 // maxRankWaits bounds the delay of late ranks, in multiples of RankDelay.
--- a/swarm/feed.go
+++ b/swarm/feed.go
@@ -36,7 +36,7 @@
 	// stalls counts consecutive request timeouts without any piece; lastReceived is when the last piece arrived.
 	stalls       int
 	lastReceived time.Time
-	// meanLatency is the mean time from a request to its piece.
+	// meanLatency is the mean time from a request to its piece, without the wait at the sender.
 	meanLatency time.Duration
 	started     time.Time
 	salt        uint64
@@ -62,15 +62,15 @@
 // Received records that a piece arrived and was verified; from is empty for the origin, queued is how long the request waited
 // at the sender. It returns the peer that was asked for the piece but did not send it first, or an empty string.
 func (f *Feed) Received(piece int, from string, queued time.Duration, now time.Time) (asked string) {
-	if a, ok := f.requests[piece]; ok {
-		if a.peer == from {
-			f.adaptWindow(from, now.Sub(a.since)-queued, now)
+	if req, ok := f.requests[piece]; ok {
+		if req.peer == from {
+			f.adaptWindow(from, now.Sub(req.since)-queued, now)
 		} else {
-			// It arrived from a peer that timed out too early or from the origin: the own link may be slow.
-			asked = a.peer
+			// It arrived from a peer that timed out too early or from the origin: this box's link may be slow.
+			asked = req.peer
 			f.shrinkWindow(now)
 		}
-		f.release(piece, a.peer)
+		f.release(piece, req.peer)
 	}
 	delete(f.downloading, piece)
 	f.recordSeen(piece, now)
--- a/swarm/feed_test.go
+++ b/swarm/feed_test.go
@@ -122,13 +122,13 @@
 	}
 }
 
-// TestFeedLeavesASqueezedLinkRoom checks that pieces do not queue on a narrowed link for long before callers' requests.
+// TestFeedLeavesASqueezedLinkRoom checks that on a link that becomes slow, pieces do not queue long ahead of callers' requests.
 func TestFeedLeavesASqueezedLinkRoom(t *testing.T) {
-	const squeezed, settled = time.Second, 4 * time.Second
+	const slowFrom, settled = time.Second, 4 * time.Second
 	w := newFeedSim(testMembers(20, 3), feedPieces, holdsNone)
 	queue := time.Duration(0)
 	for w.now.Sub(testStart) < 12*time.Second {
-		if w.now.Sub(testStart) >= squeezed {
+		if w.now.Sub(testStart) >= slowFrom {
 			w.slow["b003"] = 276 * time.Millisecond
 		}
 		w.step()
--- a/swarm/feedabsence_test.go
+++ b/swarm/feedabsence_test.go
@@ -36,8 +36,8 @@
 							w.step()
 						}
 						left := w.unheldPieces()
-						// As many downloads as the origin's link would carry.
-						tries := int(outage/originTime) + 1 + backupDownloaders*left
+						// One failure per piece time on the origin's link during the outage, and one per backup of each missing piece.
+						maxFailed := int(outage/originTime) + 1 + backupDownloaders*left
 						limit := w.originBackAt.Add(tailMargin + hang + time.Duration(left)*originTime)
 						for w.unheldPieces() > 0 && w.now.Before(limit.Add(10*time.Second)) {
 							w.step()
@@ -45,8 +45,8 @@
 						if over := w.now.Sub(limit); over > 0 {
 							t.Errorf("%d pieces were downloaded %s too late", left, over)
 						}
-						if w.failedDownloads > tries {
-							t.Errorf("%d downloads failed, want at most %d", w.failedDownloads, tries)
+						if w.failedDownloads > maxFailed {
+							t.Errorf("%d downloads failed, want at most %d", w.failedDownloads, maxFailed)
 						}
 						if w.downloads > feedPieces+feedPieces/4 {
 							t.Errorf("%d pieces downloaded, want about %d", w.downloads, feedPieces)
--- a/swarm/feedfixture_test.go
+++ b/swarm/feedfixture_test.go
@@ -103,8 +103,8 @@
 func (w *feedSim) apply(member Member, action Action) {
 	switch {
 	case action.Cancel:
-		w.requests[action.Peer] = slices.DeleteFunc(w.requests[action.Peer], func(a simRequest) bool {
-			return a.to == member.ID && a.piece == action.Chunk
+		w.requests[action.Peer] = slices.DeleteFunc(w.requests[action.Peer], func(req simRequest) bool {
+			return req.to == member.ID && req.piece == action.Chunk
 		})
 	case action.Download && w.originDown():
 		w.failedDownloads++
@@ -133,15 +133,15 @@
 	if w.uplinkBusyUntil[from].After(w.now) || len(w.requests[from]) == 0 || w.dead[from] {
 		return
 	}
-	i := max(slices.IndexFunc(w.requests[from], func(a simRequest) bool { return a.crossSite }), 0)
-	a := w.requests[from][i]
+	i := max(slices.IndexFunc(w.requests[from], func(req simRequest) bool { return req.crossSite }), 0)
+	req := w.requests[from][i]
 	w.requests[from] = slices.Delete(w.requests[from], i, i+1)
-	takes := max(pieceTime, w.slow[from], w.slow[a.to])
+	takes := max(pieceTime, w.slow[from], w.slow[req.to])
 	w.uplinkBusyUntil[from] = w.now.Add(max(pieceTime, w.slow[from]))
-	w.downlinkBusyUntil[a.to] = later(w.now, w.downlinkBusyUntil[a.to]).Add(takes)
-	queued := w.now.Sub(a.since)
+	w.downlinkBusyUntil[req.to] = later(w.now, w.downlinkBusyUntil[req.to]).Add(takes)
+	queued := w.now.Sub(req.since)
 	w.after(w.uplinkBusyUntil[from].Sub(w.now), func() { w.sendNext(from) })
-	w.after(w.downlinkBusyUntil[a.to].Sub(w.now), func() { w.deliver(a.to, a.piece, from, queued) })
+	w.after(w.downlinkBusyUntil[req.to].Sub(w.now), func() { w.deliver(req.to, req.piece, from, queued) })
 }
 
 func (w *feedSim) deliver(to string, piece int, from string, queued time.Duration) {
@@ -207,7 +207,6 @@
 
 func holdsNone(Member) []int { return nil }
 
-// everything is all pieces.
 func allPieces() []int {
 	pieces := make([]int, feedPieces)
 	for i := range pieces {
--- a/swarm/feedpeer.go
+++ b/swarm/feedpeer.go
@@ -30,8 +30,8 @@
 
 // PeerGone records that the link to a box has ended.
 func (f *Feed) PeerGone(id string) {
-	for piece, a := range f.requests {
-		if a.peer == id {
+	for piece, req := range f.requests {
+		if req.peer == id {
 			delete(f.requests, piece)
 		}
 	}
--- a/swarm/feedrequest.go
+++ b/swarm/feedrequest.go
@@ -42,29 +42,29 @@
 	}
 }
 
-// requestTimeout is how long a peer with requests may send nothing; it grows with the latency and with consecutive stalls.
+// requestTimeout returns how long a peer with requests may send nothing; it grows with the latency and with consecutive stalls.
 func (f *Feed) requestTimeout() time.Duration {
 	return max(f.params.RequestTimeout, timeoutFactor/2*f.meanLatency) * time.Duration(1+f.stalls)
 }
 
-// expire cancels requests that timed out and pauses their peers. When nothing arrives at all, the own link may be congested
-// with pieces already requested: then the window shrinks to one.
+// expire cancels requests that timed out and pauses their peers. When nothing arrives at all, this box's link may be
+// congested with pieces already requested: then the window shrinks to one.
 func (f *Feed) expire(now time.Time) []Action {
 	var actions []Action
 	stalled := now.Sub(f.lastReceived) > f.params.RequestTimeout
-	for piece, a := range f.requests {
-		p := f.peers[a.peer]
+	for piece, req := range f.requests {
+		p := f.peers[req.peer]
 		if p == nil {
 			delete(f.requests, piece)
 			continue
 		}
-		if now.Sub(later(a.since, p.lastReceived)) <= f.requestTimeout() {
+		if now.Sub(later(req.since, p.lastReceived)) <= f.requestTimeout() {
 			continue
 		}
-		f.release(piece, a.peer)
+		f.release(piece, req.peer)
 		p.pausedUntil = now.Add(faultPause)
 		p.slowUntil = now.Add(slowPause)
-		actions = append(actions, Action{Chunk: piece, Peer: a.peer, Cancel: true})
+		actions = append(actions, Action{Chunk: piece, Peer: req.peer, Cancel: true})
 	}
 	if stalled && len(actions) > 0 {
 		f.window = 1
@@ -141,7 +141,7 @@
 }
 
 func (f *Feed) release(piece int, from string) {
-	if a, ok := f.requests[piece]; ok && a.peer == from {
+	if req, ok := f.requests[piece]; ok && req.peer == from {
 		delete(f.requests, piece)
 		if p := f.peers[from]; p != nil {
 			p.inFlight--
--- a/swarm/node.go
+++ b/swarm/node.go
@@ -29,7 +29,7 @@
 }
 
 // Action is one thing to do now: request Chunk from Peer or, with Download, download it from the origin.
-// Rank is this box's rank for the chunk's group. Drop cancels an earlier request for the chunk.
+// Rank is this box's rank for the chunk's group. With Cancel, an earlier request for the chunk is cancelled.
 type Action struct {
 	Chunk    int
 	Peer     string
@@ -121,12 +121,12 @@
 
 // Received records that a chunk arrived and was verified; from is empty for the origin. It reports whether the chunk was new.
 func (n *Node) Received(chunk int, from string, now time.Time) bool {
-	if a, ok := n.requests[chunk]; ok && a.peer == from {
-		n.observe(now.Sub(a.since))
+	if req, ok := n.requests[chunk]; ok && req.peer == from {
+		n.observe(now.Sub(req.since))
 		n.peers[from].faults = 0
 	}
-	if a, ok := n.requests[chunk]; ok {
-		n.release(chunk, a.peer)
+	if req, ok := n.requests[chunk]; ok {
+		n.release(chunk, req.peer)
 	}
 	delete(n.downloading, chunk)
 	n.lastProgress = now
@@ -182,9 +182,9 @@
 // expire fails requests that exceed the timeout, so that the chunk is requested elsewhere.
 func (n *Node) expire(now time.Time) {
 	timeout := max(n.params.RequestTimeout, timeoutFactor*n.meanTime)
-	for chunk, a := range n.requests {
-		if now.Sub(a.since) > timeout {
-			n.RequestFailed(chunk, a.peer, FaultStalled, now)
+	for chunk, req := range n.requests {
+		if now.Sub(req.since) > timeout {
+			n.RequestFailed(chunk, req.peer, FaultStalled, now)
 		}
 	}
 }
@@ -209,8 +209,8 @@
 }
 
 func (n *Node) release(chunk int, from string) {
-	a, ok := n.requests[chunk]
-	if !ok || a.peer != from {
+	req, ok := n.requests[chunk]
+	if !ok || req.peer != from {
 		return
 	}
 	delete(n.requests, chunk)
--- a/swarm/partners.go
+++ b/swarm/partners.go
@@ -3,8 +3,8 @@
 // MaxPartners bounds the links that a box opens for a Feed.
 const MaxPartners = 48
 
-// backupRanks is how many boxes of a site link to each group's sources in other sites: the gateway and one backup.
-const backupRanks = 2
+// sourceRanks is how many boxes of a site link to each group's sources in other sites: the gateway and one backup.
+const sourceRanks = 2
 
 // Partners returns the boxes to which self opens links: the cross-site sources of its groups as gateway, its neighbours
 // in its own site, then the sources of its groups as backup. Linking to the whole site would multiply announcements.
@@ -14,7 +14,7 @@
 	for _, neighbour := range Neighbours(self, o.members) {
 		p.add(neighbour)
 	}
-	for rank := 1; rank < backupRanks; rank++ {
+	for rank := 1; rank < sourceRanks; rank++ {
 		p.addSources(o, self, rank)
 	}
 	return p.members
--- a/swarm/peer.go
+++ b/swarm/peer.go
@@ -30,8 +30,8 @@
 
 // PeerGone records that the link to a box has ended.
 func (n *Node) PeerGone(id string) {
-	for chunk, a := range n.requests {
-		if a.peer == id {
+	for chunk, req := range n.requests {
+		if req.peer == id {
 			delete(n.requests, chunk)
 		}
 	}
--- a/swarm/rankbalancer.go
+++ b/swarm/rankbalancer.go
@@ -13,7 +13,7 @@
 }
 
 func newRankBalancer(members []Member, groups int) *rankBalancer {
-	s := &rankBalancer{
+	b := &rankBalancer{
 		members: members, gatewayCap: make(map[string]int),
 		gateways: make([]int, len(members)), downloads: make([]int, len(members)),
 	}
@@ -22,32 +22,32 @@
 		boxes[member.Site]++
 	}
 	for site, n := range boxes {
-		s.gatewayCap[site] = (groups + n - 1) / n
+		b.gatewayCap[site] = (groups + n - 1) / n
 	}
 	if len(members) > 0 {
-		s.downloadCap = (groups + len(members) - 1) / len(members)
+		b.downloadCap = (groups + len(members) - 1) / len(members)
 	}
-	return s
+	return b
 }
 
 // promote moves to the front the first box of each site that is below its gateway cap, and of these the first that is below
 // the download cap to the first rank.
-func (s *rankBalancer) promote(order []int) []int {
+func (b *rankBalancer) promote(order []int) []int {
 	var gateways []int
 	chosen := make(map[string]bool)
 	for _, i := range order {
-		site := s.members[i].Site
-		if !chosen[site] && s.gateways[i] < s.gatewayCap[site] {
+		site := b.members[i].Site
+		if !chosen[site] && b.gateways[i] < b.gatewayCap[site] {
 			chosen[site] = true
-			s.gateways[i]++
+			b.gateways[i]++
 			gateways = append(gateways, i)
 		}
 	}
 	if len(gateways) == 0 {
 		return order
 	}
-	first := s.pickDownloader(gateways)
-	s.downloads[gateways[first]]++
+	first := b.pickDownloader(gateways)
+	b.downloads[gateways[first]]++
 	front := append([]int{gateways[first]}, slices.Delete(slices.Clone(gateways), first, first+1)...)
 	for _, i := range order {
 		if !slices.Contains(gateways, i) {
@@ -58,13 +58,13 @@
 }
 
 // pickDownloader returns the index of the first gateway below the download cap, or of the one with the fewest downloads.
-func (s *rankBalancer) pickDownloader(gateways []int) int {
+func (b *rankBalancer) pickDownloader(gateways []int) int {
 	fewest := 0
 	for index, i := range gateways {
-		if s.downloads[i] < s.downloadCap {
+		if b.downloads[i] < b.downloadCap {
 			return index
 		}
-		if s.downloads[i] < s.downloads[gateways[fewest]] {
+		if b.downloads[i] < b.downloads[gateways[fewest]] {
 			fewest = index
 		}
 	}
--- a/transfer/run.go
+++ b/transfer/run.go
@@ -95,8 +95,9 @@
 	r.node.DownloadFailed(action.Chunk, time.Now())
 }
 
-// acquirePermit makes sure of a permit for the chunk's group; a permit covers each chunk once. While the table is
-// unreachable, rank replaces the permit: as many boxes may download a chunk as there are permits, lowest ranks first.
+// acquirePermit reports whether this box may download the chunk, and acquires a permit for its group unless one that it holds
+// covers the chunk; a permit covers each chunk once. While the table is unreachable, rank replaces the permit: as many boxes
+// may download a chunk as there are permits, lowest ranks first.
 func (t *Transfer) acquirePermit(r *run, action swarm.Action) bool {
 	t.mu.Lock()
 	group := r.order.Group(action.Chunk)
--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -142,7 +142,7 @@
 	t.wakeUp()
 }
 
-// SetPrefer sets what the fleet prefers.
+// SetPrefer sets whether the fleet prefers a short rollout or few bytes from the origin.
 func (t *Transfer) SetPrefer(prefer fleet.Preference) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -116,13 +116,13 @@
 
 const maxControlBytes = 1 << 20
 
-// hopHeaders are not forwarded: hop-by-hop headers, the caller's key and the length.
-var hopHeaders = []string{
+// unforwardedHeaders are not forwarded: hop-by-hop headers, the caller's key and the length.
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
 }
 
-// EndToEndHeader returns a copy of the header without hop-by-hop fields and the caller's key.
+// EndToEndHeader returns a copy of the header without hop-by-hop fields, the caller's key and the length.
 func EndToEndHeader(header http.Header) http.Header {
 	clean := header.Clone()
 	for _, field := range clean.Values("Connection") {
@@ -130,7 +130,7 @@
 			clean.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range unforwardedHeaders {
 		clean.Del(name)
 	}
 	return clean
--- a/weights/errors.go
+++ b/weights/errors.go
@@ -52,7 +52,7 @@
 	Want, Got string
 }
 
-// Error names the name and the digests.
+// Error gives the name and both digests.
 func (e *NameTakenError) Error() string {
 	return fmt.Sprintf("name %q already stands for %s, not %s", e.Name, e.Got, e.Want)
 }
