--- a/transfer/transfer.go
+++ b/transfer/transfer.go
@@ -20,7 +20,8 @@
 	Get(ctx context.Context, key string) ([]byte, error)
 }
 
-// Permits grants permits to download a chunk group from the origin.
+// Permits grants permits to download a chunk group from the origin. Acquire tries the permit numbered first before the others;
+// ok is false if none is free.
 type Permits interface {
 	Acquire(ctx context.Context, manifest weights.Digest, group, first int) (ok bool, err error)
 }
